--- a/include/bamboostile/placement/capacity.h
+++ b/include/bamboostile/placement/capacity.h
@@ -12,20 +12,21 @@
 {
   InstanceId m_instance;
   ServiceId m_to;
-  /** Tells it from an earlier order for the same instance. */
+  /** Distinguishes it from earlier orders for the same instance. */
   std::uint64_t m_number = 0;
 };
 
-/** What a pool has and needs, for operators. */
+/** Actual and desired capacity of a pool, shown to operators. */
 struct PoolNeed
 {
   ServiceId m_service;
-  /** Reporting or on the way. */
+  /** Workers that report, and instances being moved into the pool. */
   std::size_t m_have = 0;
   std::size_t m_want = 0;
-  /** CPU of what waits and runs, times how long it takes, in core-seconds. */
+  /** CPU times expected duration of all waiting and running tasks, in
+   * core-seconds. */
   std::int64_t m_workCoreSeconds = 0;
-  /** Of the workers that report, and what runs hold of it. */
+  /** Cores of the workers that report, and those that runs occupy. */
   std::int64_t m_cores = 0;
   std::int64_t m_usedCores = 0;
 };
@@ -33,8 +34,8 @@
 struct CapacityPlan
 {
   std::vector<PoolNeed> m_needs;
-  /** Get no new work: they are about to leave their pool, or are to be emptied
-   * for another. */
+  /** Workers that get no new work: they are about to leave their pool, or are
+   * being drained for another one. */
   std::set<WorkerLife> m_cordoned;
   std::vector<MoveOrder> m_orders;
 };
@@ -42,38 +43,38 @@
 struct CapacityOptions
 {
   Mechanisms m_mechanisms;
-  /** What waits should be done in this time: about what the slack of a job
-   * leaves after a move. */
-  Millis m_workOffIn{ 1500 };
-  /** What is late already matters less, but its callers still take the result
-   * for some time; left to the shrinking rest of a pool, it would come after
-   * that. */
-  Millis m_workOffLateIn{ 4000 };
-  /** An instance that nothing needs goes to standby after this long idle. Most
-   * that are idle for longer than a step of a job takes stay idle until the
-   * next peak, which costs more than two moves. */
-  Duration m_idleToStandby = Millis{ 700 };
-  /** One that another pool needs goes at once, unless it has only just become
-   * idle: between two steps of a job a worker is idle for a moment. */
-  Duration m_idleToOther = Millis{ 200 };
-  /** A moved instance that has not reported by then is not counted on. */
-  Duration m_arrivesWithin = Millis{ 5000 };
-  std::size_t m_leastPerPool = 3;
-  /** What the platform takes from all of us, maintenance included. */
+  /** Time in which queued work should be done: about the slack that a job has
+   * left after a move. */
+  Millis m_backlogTarget{ 1500 };
+  /** The same for late work. It is less urgent, but its callers accept the
+   * result for some time yet; a shrinking pool would deliver it after that. */
+  Millis m_lateBacklogTarget{ 4000 };
+  /** Idle time after which an instance that no pool needs goes to standby. Most
+   * instances that are idle for longer than a step of a job takes stay idle
+   * until the next peak, which costs more than two moves. */
+  Duration m_idleBeforeStandby = Millis{ 700 };
+  /** Idle time after which an instance moves to another pool that needs it.
+   * Between two steps of a job a worker is idle for a moment. */
+  Duration m_idleBeforeMove = Millis{ 200 };
+  /** Time after which a moved instance that has not reported no longer counts
+   * in its new pool. */
+  Duration m_arrivalTimeout = Millis{ 5000 };
+  std::size_t m_minPerPool = 3;
+  /** The platform's rate limit on all orders, including maintenance. */
   double m_ordersPerSecond = 64;
-  /** Between the last order of an earlier leader for an instance and the first
-   * of this one, so that two leaders never take turns with it. */
+  /** Minimum time between an earlier leader's last order for an instance and
+   * the first of this leader, so that orders of two leaders never alternate. */
   Duration m_betweenLeaders = Millis{ 3000 };
-  /** A new leader moves nothing before it has heard the workers that report
-   * often: it would take what it has not heard for missing. */
-  Duration m_hearWorkers = Millis{ 250 };
-  /** How long the platform takes to move an instance. */
+  /** A new leader moves no instance for this long, until the workers that
+   * report frequently have done so: it would treat the others as missing. */
+  Duration m_reportWait = Millis{ 250 };
+  /** Time that the platform takes to move an instance. */
   Duration m_moveTakes = Millis{ 1500 };
 };
 
 /**
- * @brief Moves instances to the pools whose queues need them: out of standby
- * and from pools where they idle, and into standby when nothing needs them.
+ * @brief Moves instances from standby and from pools where they are idle to
+ * pools that need them, and unneeded ones to standby.
  *
  * An instance is moved only while it runs nothing, so no work is lost.
  */
@@ -85,7 +86,7 @@
   {
   }
 
-  /** aReserved: instances that maintenance is about to take. */
+  /** aReserved: workers whose instances maintenance is about to take down. */
   CapacityPlan Next(const fleet::State& aState,
                     const WorkerTable& aWorkers,
                     const std::set<WorkerLife>& aReserved,
@@ -95,13 +96,13 @@
                     WallTime aWall);
 
   void AllowOrders(bool aAllowed) { m_isAllowed = aAllowed; }
-  /** Orders of maintenance, which go first, count against the same rate. */
+  /** Counts maintenance orders, which have priority, against the same rate. */
   void OnOtherOrders(std::size_t aCount);
   /** aStandby: the pool whose instances are off. */
   void OnListed(const std::vector<ListedInstance>& aInstances,
                 const ServiceId& aStandby,
                 TimePoint aNow);
-  /** The life that has ended with the order, where that is certain. */
+  /** Returns the incarnation that the order has ended, if that is certain. */
   std::optional<WorkerLife> OnAnswer(const MoveOrder& aOrder,
                                      InstanceAnswer aAnswer,
                                      TimePoint aNow);
@@ -111,34 +112,35 @@
   {
     ServiceId m_to;
     TimePoint m_since;
-    std::optional<WorkerLife> m_aimedAt;
+    std::optional<WorkerLife> m_targetIncarnation;
     std::uint64_t m_number = 0;
-    bool m_answered = false;
-    bool m_taken = false;
+    bool m_isAnswered = false;
+    bool m_isAccepted = false;
   };
 
-  struct Emptiable
+  struct Drainable
   {
     const Worker* m_worker = nullptr;
-    std::int64_t m_used = 0;
+    std::int64_t m_usedCpu = 0;
   };
 
   struct Pool
   {
-    std::size_t m_have = 0;
-    std::size_t m_want = 0;
+    std::size_t m_actual = 0;
+    std::size_t m_desired = 0;
     std::size_t m_reporting = 0;
-    /** Of one worker, in thousandths. */
+    /** Cores of one worker, in thousandths. */
     std::size_t m_cores = 0;
     std::int64_t m_work = 0;
     std::int64_t m_cpu = 0;
-    std::int64_t m_used = 0;
+    std::int64_t m_usedCpu = 0;
     /** Workers whose runs all end by themselves. */
-    std::vector<Emptiable> m_emptiable;
+    std::vector<Drainable> m_drainable;
 
-    bool IsShort() const { return m_have < m_want; }
-    bool HasSpare() const { return m_have > m_want; }
-    /** Of the workers that report; one whose room has shrunk counts little. */
+    bool IsShort() const { return m_actual < m_desired; }
+    bool HasSurplus() const { return m_actual > m_desired; }
+    /** Mean cores of the workers that report, in thousandths; one whose
+     * reported capacity has shrunk counts little. */
     std::optional<std::size_t> MeanCores() const
     {
       return m_cpu == 0
@@ -149,40 +151,40 @@
 
   using Pools = std::map<ServiceId, Pool>;
 
-  Pools FindPools(const fleet::State& aState,
-                  const WorkerTable& aWorkers,
-                  const std::set<WorkerLife>& aReserved,
-                  const Durations& aDurations,
-                  TimePoint aNow,
-                  WallTime aWall) const;
+  Pools ComputePools(const fleet::State& aState,
+                     const WorkerTable& aWorkers,
+                     const std::set<WorkerLife>& aReserved,
+                     const Durations& aDurations,
+                     TimePoint aNow,
+                     WallTime aWall) const;
   void AddDemand(const fleet::State& aState,
                  const Durations& aDurations,
                  WallTime aWall,
                  Pools& aPools) const;
-  void EarnOrders(TimePoint aNow);
-  bool MayOrder() const;
-  void FollowIdle(const fleet::State& aState,
-                  const WorkerTable& aWorkers,
-                  TimePoint aNow);
-  void Settle(const WorkerTable& aWorkers,
-              const ServiceId* aStandby,
-              TimePoint aNow);
-  void CountUnheard(const fleet::State& aState,
-                    const WorkerTable& aWorkers,
-                    TimePoint aNow,
-                    Pools& aPools) const;
-  bool IsFreeToOrder(const InstanceId& aInstance,
-                     const OrderRecord& aRecord,
-                     TimePoint aUpSince,
-                     TimePoint aNow) const;
-  /** aEmptied: may go as soon as they are idle. */
-  std::vector<const Worker*> FindSpare(const WorkerTable& aWorkers,
-                                       const std::set<WorkerLife>& aReserved,
-                                       const OrderRecord& aRecord,
-                                       Duration aIdleFor,
-                                       const std::set<WorkerLife>& aEmptied,
-                                       TimePoint aNow) const;
-  bool Rests(const InstanceId& aInstance, TimePoint aNow) const;
+  void RefillOrderTokens(TimePoint aNow);
+  bool HasOrderBudget() const;
+  void TrackIdleWorkers(const fleet::State& aState,
+                        const WorkerTable& aWorkers,
+                        TimePoint aNow);
+  void CompleteMoves(const WorkerTable& aWorkers,
+                     const ServiceId* aStandby,
+                     TimePoint aNow);
+  void CountUnreportedWorkers(const fleet::State& aState,
+                              const WorkerTable& aWorkers,
+                              TimePoint aNow,
+                              Pools& aPools) const;
+  bool CanOrder(const InstanceId& aInstance,
+                const OrderRecord& aRecord,
+                TimePoint aUpSince,
+                TimePoint aNow) const;
+  /** aDraining: workers that may be moved as soon as they are idle. */
+  std::vector<const Worker*> FindMovable(const WorkerTable& aWorkers,
+                                         const std::set<WorkerLife>& aReserved,
+                                         const OrderRecord& aRecord,
+                                         Duration aIdleFor,
+                                         const std::set<WorkerLife>& aDraining,
+                                         TimePoint aNow) const;
+  bool IsBackingOff(const InstanceId& aInstance, TimePoint aNow) const;
   std::optional<InstanceId> FindStandby(const WorkerTable& aWorkers,
                                         const OrderRecord& aRecord,
                                         TimePoint aNow) const;
@@ -192,16 +194,16 @@
                  TimePoint aNow,
                  Pools& aPools,
                  CapacityPlan& aPlan);
-  void EmptySurplus(const std::set<WorkerLife>& aReserved,
+  void DrainSurplus(const std::set<WorkerLife>& aReserved,
                     TimePoint aNow,
                     Pools& aPools);
-  void ReleaseIdle(const ServiceId& aStandby,
-                   const WorkerTable& aWorkers,
-                   const std::set<WorkerLife>& aReserved,
-                   const OrderRecord& aRecord,
-                   TimePoint aNow,
-                   Pools& aPools,
-                   CapacityPlan& aPlan);
+  void MoveIdleToStandby(const ServiceId& aStandby,
+                         const WorkerTable& aWorkers,
+                         const std::set<WorkerLife>& aReserved,
+                         const OrderRecord& aRecord,
+                         TimePoint aNow,
+                         Pools& aPools,
+                         CapacityPlan& aPlan);
   void Order(const InstanceId& aInstance,
              const Worker* aWorker,
              const ServiceId& aTo,
@@ -210,19 +212,20 @@
 
   CapacityOptions m_options;
   TimePoint m_leaderSince;
-  /** Those of the standby pool, and since when this leader knows them up. */
+  /** Instances in standby, and when this leader first saw each listed as up. */
   std::map<InstanceId, TimePoint> m_standby;
   std::map<InstanceId, Move> m_moves;
   std::map<WorkerLife, TimePoint> m_idleSince;
-  std::map<InstanceId, TimePoint> m_notBefore;
-  /** Get no new work until they are idle and moved, or no longer wanted. */
-  std::set<WorkerLife> m_emptying;
-  /** Orders that may be given now, as the rate allows. */
-  double m_mayOrder = 0;
+  std::map<InstanceId, TimePoint> m_retryNotBefore;
+  /** Workers that get no new work until they are idle and moved, or until no
+   * other pool needs them. */
+  std::set<WorkerLife> m_drainingWorkers;
+  /** Token bucket: orders that the rate allows now. */
+  double m_orderTokens = 0;
   bool m_isAllowed = true;
   std::uint64_t m_lastNumber = 0;
   std::set<std::uint64_t> m_unanswered;
-  TimePoint m_earnedAt;
+  TimePoint m_refilledAt;
 };
 
 } // namespace bamboostile::placement
--- a/include/bamboostile/placement/maintenance.h
+++ b/include/bamboostile/placement/maintenance.h
@@ -9,7 +9,7 @@
 
 namespace bamboostile::placement {
 
-/** An instance for which the platform is to be asked. */
+/** A request to the platform to take an instance down for maintenance. */
 struct MaintenanceOrder
 {
   std::uint64_t m_wave = 0;
@@ -18,19 +18,20 @@
   auto operator<=>(const MaintenanceOrder&) const = default;
 };
 
-/** How the platform answered. */
+/** The platform's answer to an order. */
 enum class InstanceAnswer
 {
   kTaken,
-  /** Not up at the moment, or leaving. */
+  /** The instance is not up at the moment, or is leaving. */
   kBusy,
-  /** The instance or the wave is not known, or not meant for it. */
+  /** The platform does not know the instance or the wave, or the wave does not
+   * include the instance. */
   kNotMeant,
-  /** A later leader has given an order. */
+  /** A later leader has sent an order. */
   kOvertaken,
-  /** Given up before its first byte went out; it will not be obeyed. */
+  /** Abandoned before its first byte was sent; it will not be executed. */
   kNotSent,
-  /** No answer, or one that tells nothing; the order may have been obeyed. */
+  /** No answer, or an inconclusive one; the order may have been executed. */
   kUnclear,
 };
 
@@ -39,16 +40,17 @@
 /** Why the step of an instance changes. */
 enum class AdvanceCause
 {
-  kTurn,
+  /** The instance is ready to go down, and the cap allows it. */
+  kScheduled,
   kTaken,
-  /** Busy, to the only order that can have reached the platform. */
+  /** The only order that can have reached the platform was answered "busy". */
   kRefused,
   kNotMeant,
-  /** The platform lists it in another state; no order is on its way. */
-  kListedElsewhere,
-  /** It has sent a report since it went down. */
+  /** The platform lists it in another state; no order is in flight. */
+  kListedInOtherState,
+  /** Its worker has sent a report since it went down. */
   kReported,
-  /** The platform lists it as up since it went down. */
+  /** The platform has listed it as up since it went down. */
   kListedUp,
 };
 
@@ -57,59 +59,61 @@
 struct MaintenanceAdvance
 {
   fleet::AdvanceMaintenance m_change;
-  AdvanceCause m_cause = AdvanceCause::kTurn;
+  AdvanceCause m_cause = AdvanceCause::kScheduled;
 };
 
-/** Moves, and as many orders of maintenance, that wait for their answer. Each
- * costs the leader time, and what waits takes effect on what has changed since;
- * where the platform is well this never binds. */
+/** Limit on unanswered orders; moves and maintenance orders each have their
+ * own. Each order costs the leader time, and a delayed one acts on a state that
+ * has changed since. A healthy platform never reaches the limit. */
 inline constexpr std::size_t kMostOrdersUnderWay = 32;
 
 struct MaintenancePlan
 {
-  /** Get no new work: their turn is near. */
+  /** Workers that get no new work because their maintenance is near. */
   std::set<WorkerLife> m_cordoned;
   std::vector<MaintenanceAdvance> m_advances;
-  /** To be sent, each until it is answered. */
+  /** Orders to send; each is repeated until it is answered. */
   std::vector<MaintenanceOrder> m_orders;
-  /** A wave is not done: the platform's list may tell what became of orders. */
+  /** A wave is not done; the platform's list may show the outcome of orders. */
   bool m_isOpen = false;
-  /** An instance is likely back, and the list would prove it. */
+  /** An instance is probably back, which the platform's list would confirm. */
   bool m_wantsList = false;
 };
 
-/** What follows from an answer. */
+/** The consequences of an answer. */
 struct MaintenanceResult
 {
   std::optional<MaintenanceAdvance> m_advance;
-  /** The life that has ended with the order, where that is certain. */
+  /** The incarnation that the order has ended; unset if that is uncertain. */
   std::optional<WorkerLife> m_ended;
 };
 
 struct MaintenanceOptions
 {
-  /** A leader gives its first order only after the calls that an earlier one
-   * had under way have ended; no order is obeyed so long after it was sent. */
+  /** The longest time from sending an order until the platform executes it. A
+   * new leader waits this long before its first order, so that calls of an
+   * earlier leader have ended. */
   Duration m_quietAfterElection = Millis{ 3000 };
-  /** Tasks that end by themselves are waited for this long: work thrown away is
-   * dearer than a wave that is a little late. */
-  Duration m_patience = Millis{ 4000 };
+  /** How long a cordoned instance may run on to finish tasks that end by
+   * themselves: discarded work costs more than a slightly late wave. */
+  Duration m_drainTimeout = Millis{ 4000 };
   Duration m_retryAfter = Millis{ 1500 };
-  /** How long the platform usually keeps an instance down. */
+  /** The usual time that the platform keeps an instance down. */
   Duration m_takes = Millis{ 2000 };
-  /** The list is asked for an instance that may be back until so long after it
-   * went down; later it is looked at only as often as for anything else. */
-  Duration m_listFor = Millis{ 8000 };
-  /** How many instances are emptied ahead of their turn, beside `cap`. */
-  std::size_t m_ahead = 1;
+  /** Time after an instance went down in which the platform's list is polled
+   * for its return; later the list is read only at its regular interval. */
+  Duration m_listPollWindow = Millis{ 8000 };
+  /** Instances that are drained in advance, in addition to the wave's cap. */
+  std::size_t m_drainAhead = 1;
 };
 
 /**
- * @brief Takes the instances of a wave through their maintenance, no more than
- * its cap at once: emptied first, then ordered, then back.
+ * @brief Takes the instances of a wave through maintenance, no more than its
+ * cap at once: each is drained, ordered down and awaited back.
  *
- * An order that may have been obeyed counts until the platform or a later
- * report shows otherwise; time alone shows nothing.
+ * An instance whose order may have been executed counts as down until the
+ * platform or a later report shows that it is not. Elapsed time alone is no
+ * evidence.
  */
 class MaintenancePlanner
 {
@@ -130,47 +134,47 @@
   void OnListed(const InstanceList& aList);
 
 private:
-  /** Waits for its turn. */
+  /** The instance has not been ordered down. */
   struct Waiting
   {
     std::optional<TimePoint> m_cordonedSince;
     TimePoint m_notBefore;
-    /** The life that an order would end, once its turn has come. */
-    std::optional<WorkerLife> m_aimedAt;
-    bool m_hasTurn = false;
+    /** The incarnation that an order would end, once it is scheduled. */
+    std::optional<WorkerLife> m_targetIncarnation;
+    bool m_isScheduled = false;
   };
 
-  /** The platform was or will be asked. */
+  /** An order was or will be sent to the platform. */
   struct Ordered
   {
-    /** A sending other than the one under way may have reached the platform,
-     * and answers may be about that one. */
+    /** An earlier transmission than the one in flight may have reached the
+     * platform, and an answer may refer to that one. */
     bool m_isRepeated = false;
-    /** The life that the order ends; unset where that is not certain. */
-    std::optional<WorkerLife> m_aimedAt;
+    /** The incarnation that the order ends; unset if that is uncertain. */
+    std::optional<WorkerLife> m_targetIncarnation;
     TimePoint m_notBefore;
-    /** No sending whose outcome is unclear is younger. */
-    TimePoint m_unclearAt;
-    /** Listed in a state that no sending so far can have brought about. */
-    bool m_isElsewhere = false;
+    /** No transmission with an unclear outcome is later than this. */
+    TimePoint m_lastUnclearAt;
+    /** Listed in a state that no transmission so far can have caused. */
+    bool m_isInOtherState = false;
   };
 
-  /** The platform has taken the order. */
+  /** The platform has accepted the order. */
   struct Down
   {
-    /** It had gone down by then. */
+    /** A time by which the instance had gone down. */
     TimePoint m_since;
     bool m_isListedUp = false;
   };
 
-  /** What is remembered of an instance in a wave. It ends with the step: what
-   * outlives that would count in the next one. */
+  /** Volatile data of an instance in a wave. It is discarded with each step, so
+   * that it cannot affect the next one. */
   using Step = std::variant<Waiting, Ordered, Down>;
 
-  static Step FollowStep(const Step& aBefore,
-                         fleet::MaintenanceStep aNext,
-                         TimePoint aNow);
-  void FollowSteps(const fleet::State& aState, TimePoint aNow);
+  static Step NextStep(const Step& aBefore,
+                       fleet::MaintenanceStep aNext,
+                       TimePoint aNow);
+  void SyncSteps(const fleet::State& aState, TimePoint aNow);
   void PlanWave(const fleet::MaintenanceWave& aWave,
                 const fleet::State& aState,
                 const WorkerTable& aWorkers,
@@ -188,12 +192,12 @@
                 const WorkerTable& aWorkers,
                 TimePoint aNow,
                 MaintenancePlan& aPlan);
-  void PlanTurns(const fleet::MaintenanceWave& aWave,
-                 const fleet::State& aState,
-                 const WorkerTable& aWorkers,
-                 TimePoint aNow,
-                 WaveCaps& aCaps,
-                 MaintenancePlan& aPlan);
+  void ScheduleWaiting(const fleet::MaintenanceWave& aWave,
+                       const fleet::State& aState,
+                       const WorkerTable& aWorkers,
+                       TimePoint aNow,
+                       WaveCaps& aCaps,
+                       MaintenancePlan& aPlan);
   bool IsReady(const InstanceId& aInstance,
                const Waiting& aStep,
                const fleet::State& aState,
--- a/include/bamboostile/placement/wave_caps.h
+++ b/include/bamboostile/placement/wave_caps.h
@@ -8,10 +8,10 @@
 namespace bamboostile::placement {
 
 /**
- * @brief How many instances of each open wave may be down, and how many are or
- * may be.
+ * @brief Checks the instances that are or may be down against the cap of each
+ * open wave.
  *
- * An instance that is down for one wave counts in each that has it.
+ * An instance that is down for one wave counts in every wave that includes it.
  */
 class WaveCaps
 {
@@ -23,11 +23,11 @@
   {
     return m_down.contains(aInstance);
   }
-  /** How many more instances of the wave may go down. */
-  std::size_t RoomIn(const fleet::MaintenanceWave& aWave) const;
-  /** Within the caps of all waves that have it. */
-  bool MayGoDown(const InstanceId& aInstance) const;
-  void OnDown(const InstanceId& aInstance) { m_down.insert(aInstance); }
+  /** Returns how many more instances of the wave may go down. */
+  std::size_t RemainingIn(const fleet::MaintenanceWave& aWave) const;
+  /** Whether the caps of all waves that include the instance allow it. */
+  bool CanTakeDown(const InstanceId& aInstance) const;
+  void MarkDown(const InstanceId& aInstance) { m_down.insert(aInstance); }
 
 private:
   std::vector<const fleet::MaintenanceWave*> m_open;
--- a/src/placement/capacity.cpp
+++ b/src/placement/capacity.cpp
@@ -10,41 +10,43 @@
 namespace {
 
 /** Thousandths of a core times ms, in a core-second. */
-constexpr std::int64_t kMilliPerUnit = 1000 * 1000;
+constexpr std::int64_t kMilliPerCoreSecond = 1000 * 1000;
 constexpr std::int64_t kMilliPerCore = 1000;
-/** Of the platform's rate. What is saved up beside it stays below the rest, so
- * that no second has more orders than the platform takes. */
+/** Share of the platform's rate limit that is used. The burst below is no
+ * larger than the unused share, so that no second exceeds the limit. */
 constexpr double kRateShare = 0.85;
-constexpr double kSavedSeconds = 0.15;
+/** Size of the token bucket, in seconds of the used rate. */
+constexpr double kBurstSeconds = 0.15;
 constexpr Duration kRetryAfter = Millis{ 2000 };
-/** For trials a pool gets so many workers more, or one for each so many that it
- * has. */
-constexpr std::size_t kLeastForTrials = 4;
-constexpr std::size_t kTrialShare = 2;
+/** A pool gets an additional worker for each pending isolated run, up to this
+ * number or one for every `kWorkersPerIsolatedRun` desired workers, whichever
+ * is more. */
+constexpr std::size_t kMinIsolatedRunWorkers = 4;
+constexpr std::size_t kWorkersPerIsolatedRun = 2;
 
-/** What runs hold of a worker. */
-struct Use
+/** Resources of a worker that its runs occupy. */
+struct RunUsage
 {
-  /** In thousandths of a core. */
+  /** CPU in thousandths of a core. */
   std::int64_t m_cpu = 0;
-  bool m_endsByItself = true;
+  bool m_isDrainable = true;
 };
 
-Use
-FindUse(const jobs::Book& aBook, const WorkerLife& aWorker)
+RunUsage
+ComputeRunUsage(const jobs::Book& aBook, const WorkerLife& aWorker)
 {
-  Use use;
+  RunUsage usage;
   const auto placed = aBook.Placed().find(aWorker);
   if (placed == aBook.Placed().end()) {
-    return use;
+    return usage;
   }
   for (const jobs::TaskRef& task : placed->second) {
     const jobs::StepSpec& step =
       aBook.Find(task.m_job)->m_spec.m_steps[task.m_step];
-    use.m_cpu += step.CountedCpu();
-    use.m_endsByItself = use.m_endsByItself && !step.m_longRunning;
+    usage.m_cpu += step.CountedCpu();
+    usage.m_isDrainable = usage.m_isDrainable && !step.m_longRunning;
   }
-  return use;
+  return usage;
 }
 
 } // namespace
@@ -64,36 +66,38 @@
       Demand& demand = demands[route.m_service];
       demand.Add(job, route, aDurations, aWall);
       if (aState.Jobs().HasLosses(id)) {
-        demand.AddTrials(job);
+        demand.AddIsolatedRuns(job);
       }
     }
   }
   for (auto& [service, pool] : aPools) {
     const Demand& demand = demands[service];
-    pool.m_work = demand.m_fresh.m_work + demand.m_late.m_work;
+    pool.m_work = demand.m_onTime.m_work + demand.m_late.m_work;
     const std::int64_t cpu =
-      demand.m_fresh.CpuToWorkOffIn(m_options.m_workOffIn) +
-      demand.m_late.CpuToWorkOffIn(m_options.m_workOffLateIn) +
+      demand.m_onTime.CpuToFinishIn(m_options.m_backlogTarget) +
+      demand.m_late.CpuToFinishIn(m_options.m_lateBacklogTarget) +
       demand.m_longRunningCpu;
     const auto cores =
       static_cast<std::int64_t>(std::max<std::size_t>(pool.m_cores, 1));
     const auto byWork = static_cast<std::size_t>((cpu + cores - 1) / cores);
-    // One more than the long-running tasks need, so that one of them whose
-    // worker is lost finds room at once.
-    pool.m_want =
-      std::max({ byWork, demand.m_spread + 1, m_options.m_leastPerPool });
-    pool.m_want += std::min(
-      demand.m_trials, std::max(kLeastForTrials, pool.m_want / kTrialShare));
+    // One more worker than the long-running tasks need, so that a task whose
+    // worker is lost finds free capacity at once.
+    pool.m_desired =
+      std::max({ byWork, demand.m_minWorkers + 1, m_options.m_minPerPool });
+    pool.m_desired +=
+      std::min(demand.m_isolatedRuns,
+               std::max(kMinIsolatedRunWorkers,
+                        pool.m_desired / kWorkersPerIsolatedRun));
   }
 }
 
 CapacityPlanner::Pools
-CapacityPlanner::FindPools(const fleet::State& aState,
-                           const WorkerTable& aWorkers,
-                           const std::set<WorkerLife>& aReserved,
-                           const Durations& aDurations,
-                           TimePoint aNow,
-                           WallTime aWall) const
+CapacityPlanner::ComputePools(const fleet::State& aState,
+                              const WorkerTable& aWorkers,
+                              const std::set<WorkerLife>& aReserved,
+                              const Durations& aDurations,
+                              TimePoint aNow,
+                              WallTime aWall) const
 {
   Pools pools;
   std::size_t anyCores = 0;
@@ -108,58 +112,59 @@
     anyCores =
       std::max<std::size_t>(anyCores, worker.m_last.m_capacity.m_cpuMillis);
     if (pool != pools.end()) {
-      // What maintenance is about to take serves no more: its long-running
-      // tasks need room elsewhere before it can go.
+      // A worker that maintenance is about to take down does not count: its
+      // long-running tasks need capacity elsewhere before it can go down.
       const bool isReplaced =
         aReserved.contains(id) &&
         m_options.m_mechanisms.Has(Mechanism::kReplacement);
-      pool->second.m_have += isReplaced ? 0 : 1;
+      pool->second.m_actual += isReplaced ? 0 : 1;
       ++pool->second.m_reporting;
       pool->second.m_cpu += worker.m_last.m_capacity.m_cpuMillis;
-      const Use use = FindUse(aState.Jobs(), id);
-      pool->second.m_used += use.m_cpu;
-      if (use.m_endsByItself) {
-        pool->second.m_emptiable.push_back({ &worker, use.m_cpu });
+      const RunUsage usage = ComputeRunUsage(aState.Jobs(), id);
+      pool->second.m_usedCpu += usage.m_cpu;
+      if (usage.m_isDrainable) {
+        pool->second.m_drainable.push_back({ &worker, usage.m_cpu });
       }
     }
   }
   for (auto& [service, pool] : pools) {
     pool.m_cores = pool.MeanCores().value_or(anyCores);
   }
-  // Before any worker has reported nobody knows how large one is.
+  // The size of a worker is unknown until one has reported.
   if (anyCores == 0) {
     return pools;
   }
   AddDemand(aState, aDurations, aWall, pools);
-  CountUnheard(aState, aWorkers, aNow, pools);
+  CountUnreportedWorkers(aState, aWorkers, aNow, pools);
   for (const auto& [instance, move] : m_moves) {
     const auto pool = pools.find(move.m_to);
     if (pool != pools.end()) {
-      ++pool->second.m_have;
+      ++pool->second.m_actual;
     }
   }
   return pools;
 }
 
 void
-CapacityPlanner::FollowIdle(const fleet::State& aState,
-                            const WorkerTable& aWorkers,
-                            TimePoint aNow)
+CapacityPlanner::TrackIdleWorkers(const fleet::State& aState,
+                                  const WorkerTable& aWorkers,
+                                  TimePoint aNow)
 {
   std::erase_if(m_idleSince, [&](const auto& aEntry) {
     return aWorkers.Find(aEntry.first) == nullptr ||
            aState.Jobs().Placed().contains(aEntry.first);
   });
-  // A report may come from another writer: a service that the configuration
-  // does not name makes its sender no instance of ours to order about.
+  // A report may come from a foreign writer. An instance whose service is not
+  // configured does not belong to this fleet and is never moved.
   const auto& services = aState.Routes().m_services;
-  const auto isNamed = [&](const ServiceId& aService) {
-    return std::any_of(services.begin(), services.end(), [&](const auto& aOne) {
-      return aOne.m_id == aService;
-    });
+  const auto isConfigured = [&](const ServiceId& aService) {
+    return std::any_of(
+      services.begin(), services.end(), [&](const auto& aConfigured) {
+        return aConfigured.m_id == aService;
+      });
   };
   for (const auto& [id, worker] : aWorkers.Workers()) {
-    if (isNamed(worker.m_last.m_service) &&
+    if (isConfigured(worker.m_last.m_service) &&
         !aState.Jobs().Placed().contains(id) &&
         worker.m_last.m_active.empty()) {
       m_idleSince.try_emplace(id, aNow);
@@ -167,40 +172,40 @@
   }
 }
 
-// A move has arrived when the instance reports from its new pool. One that goes
-// to standby is off and reports nothing; it counts as there once the move has
-// taken its time, as the platform's list is read far less often than peaks
-// come. While its order is not answered nothing tells when it will be obeyed,
-// so the instance gets nothing new, however long that takes.
+// A move is complete when the instance reports from its new pool. An instance
+// in standby is off and sends no reports, so it counts as arrived after the
+// usual duration of a move: the platform's list is read far less often than
+// peaks occur. An unanswered order may be executed at any time, so the instance
+// stays cordoned until the answer, however long that takes.
 void
-CapacityPlanner::Settle(const WorkerTable& aWorkers,
-                        const ServiceId* aStandby,
-                        TimePoint aNow)
+CapacityPlanner::CompleteMoves(const WorkerTable& aWorkers,
+                               const ServiceId* aStandby,
+                               TimePoint aNow)
 {
   std::erase_if(m_moves, [&](const auto& aEntry) {
     const auto& [instance, move] = aEntry;
     const bool isOff = aStandby != nullptr && move.m_to == *aStandby;
-    if (isOff && move.m_taken && aNow > move.m_since + m_options.m_moveTakes) {
+    if (isOff && move.m_isAccepted &&
+        aNow > move.m_since + m_options.m_moveTakes) {
       m_standby.emplace(instance, aNow);
       return true;
     }
     const Worker* worker = aWorkers.FindByInstance(instance);
-    const bool arrived =
+    const bool hasArrived =
       worker != nullptr && worker->m_last.m_service == move.m_to;
     const bool isOver =
-      move.m_answered && aNow > move.m_since + m_options.m_arrivesWithin;
-    return arrived || isOver;
+      move.m_isAnswered && aNow > move.m_since + m_options.m_arrivalTimeout;
+    return hasArrived || isOver;
   });
 }
 
-// A new leader hears the workers one by one. Each that is known to run
-// something is in its pool, heard or not: counted as missing, it would be
-// replaced.
+// Workers report to a new leader one by one. A worker with placed tasks counts
+// in its pool before it has reported: otherwise it would be replaced.
 void
-CapacityPlanner::CountUnheard(const fleet::State& aState,
-                              const WorkerTable& aWorkers,
-                              TimePoint aNow,
-                              Pools& aPools) const
+CapacityPlanner::CountUnreportedWorkers(const fleet::State& aState,
+                                        const WorkerTable& aWorkers,
+                                        TimePoint aNow,
+                                        Pools& aPools) const
 {
   if (aWorkers.KnowsAllLeases(aNow)) {
     return;
@@ -212,19 +217,20 @@
     const jobs::Job& job = *aState.Jobs().Find(tasks.front().m_job);
     const auto route = aState.RouteLookup().Find(job.m_queue);
     if (route) {
-      ++aPools[aState.Routes().m_routes[*route].m_service].m_have;
+      ++aPools[aState.Routes().m_routes[*route].m_service].m_actual;
     }
   }
 }
 
-// An earlier leader may have ordered what is on record just before this one was
-// elected. Its order then took the instance down for as long as a move takes;
-// so one that has been up since has not been ordered for that long already.
+// An earlier leader may have ordered an instance on record just before this one
+// was elected. Such an order takes the instance down for the duration of a
+// move, so an instance that is up since aUpSince was last ordered at least that
+// long before aUpSince.
 bool
-CapacityPlanner::IsFreeToOrder(const InstanceId& aInstance,
-                               const OrderRecord& aRecord,
-                               TimePoint aUpSince,
-                               TimePoint aNow) const
+CapacityPlanner::CanOrder(const InstanceId& aInstance,
+                          const OrderRecord& aRecord,
+                          TimePoint aUpSince,
+                          TimePoint aNow) const
 {
   return !aRecord.IsInherited(aInstance) ||
          aNow >= m_leaderSince + m_options.m_betweenLeaders ||
@@ -232,28 +238,29 @@
 }
 
 std::vector<const Worker*>
-CapacityPlanner::FindSpare(const WorkerTable& aWorkers,
-                           const std::set<WorkerLife>& aReserved,
-                           const OrderRecord& aRecord,
-                           Duration aIdleFor,
-                           const std::set<WorkerLife>& aEmptied,
-                           TimePoint aNow) const
+CapacityPlanner::FindMovable(const WorkerTable& aWorkers,
+                             const std::set<WorkerLife>& aReserved,
+                             const OrderRecord& aRecord,
+                             Duration aIdleFor,
+                             const std::set<WorkerLife>& aDraining,
+                             TimePoint aNow) const
 {
-  std::vector<const Worker*> spare;
+  std::vector<const Worker*> movable;
   for (const auto& [id, since] : m_idleSince) {
     const Worker* worker = aWorkers.Find(id);
-    const bool isIdle = aNow >= since + aIdleFor || aEmptied.contains(id);
+    const bool isIdle = aNow >= since + aIdleFor || aDraining.contains(id);
     if (isIdle && worker->IsUsable(aNow) &&
         !aWorkers.IsContested(worker->m_last.m_instance) &&
-        IsFreeToOrder(
+        CanOrder(
           worker->m_last.m_instance, aRecord, worker->m_firstHeardAt, aNow) &&
-        !aReserved.contains(id) && !Rests(worker->m_last.m_instance, aNow) &&
+        !aReserved.contains(id) &&
+        !IsBackingOff(worker->m_last.m_instance, aNow) &&
         !worker->m_last.m_instance.Get().empty() &&
         !m_moves.contains(worker->m_last.m_instance)) {
-      spare.push_back(worker);
+      movable.push_back(worker);
     }
   }
-  return spare;
+  return movable;
 }
 
 void
@@ -266,24 +273,24 @@
   Move& move = m_moves[aInstance];
   move = { aTo, aNow, std::nullopt, ++m_lastNumber };
   if (aWorker != nullptr) {
-    move.m_aimedAt = aWorker->m_last.m_worker;
+    move.m_targetIncarnation = aWorker->m_last.m_worker;
   }
-  m_mayOrder -= 1;
+  m_orderTokens -= 1;
   m_unanswered.insert(move.m_number);
   aPlan.m_orders.push_back({ aInstance, aTo, move.m_number });
 }
 
 bool
-CapacityPlanner::Rests(const InstanceId& aInstance, TimePoint aNow) const
+CapacityPlanner::IsBackingOff(const InstanceId& aInstance, TimePoint aNow) const
 {
-  const auto notBefore = m_notBefore.find(aInstance);
-  return notBefore != m_notBefore.end() && aNow < notBefore->second;
+  const auto notBefore = m_retryNotBefore.find(aInstance);
+  return notBefore != m_retryNotBefore.end() && aNow < notBefore->second;
 }
 
-// The platform's list takes its time to read: one that left the pool meanwhile
-// is still on it. Ordered once more, while it serves another pool already, all
-// that runs on it would end at once, several tasks of one step among it. An
-// instance of the standby pool is off, so one that reports is not there.
+// The platform's list may be outdated when it arrives and still show an
+// instance that has left standby. A second order, when the instance already
+// serves another pool, would end all its runs at once, including several tasks
+// of one step. Instances in standby are off, so one that reports is excluded.
 std::optional<InstanceId>
 CapacityPlanner::FindStandby(const WorkerTable& aWorkers,
                              const OrderRecord& aRecord,
@@ -291,42 +298,42 @@
 {
   for (const auto& [instance, upSince] : m_standby) {
     if (aWorkers.FindByInstance(instance) == nullptr &&
-        !m_moves.contains(instance) && !Rests(instance, aNow) &&
-        IsFreeToOrder(instance, aRecord, upSince, aNow)) {
+        !m_moves.contains(instance) && !IsBackingOff(instance, aNow) &&
+        CanOrder(instance, aRecord, upSince, aNow)) {
       return instance;
     }
   }
   return std::nullopt;
 }
 
-// The rate is saved up for little more than a pass takes, so that a peak is not
-// met with more calls at once than the platform answers.
+// The token bucket holds little more than the orders of one pass, so that a
+// peak does not cause more concurrent calls than the platform answers.
 void
-CapacityPlanner::EarnOrders(TimePoint aNow)
+CapacityPlanner::RefillOrderTokens(TimePoint aNow)
 {
   const double rate = m_options.m_ordersPerSecond * kRateShare;
-  const std::chrono::duration<double> since = aNow - m_earnedAt;
-  m_mayOrder =
-    std::min(m_mayOrder + since.count() * rate, rate * kSavedSeconds);
-  m_earnedAt = aNow;
+  const std::chrono::duration<double> since = aNow - m_refilledAt;
+  m_orderTokens =
+    std::min(m_orderTokens + since.count() * rate, rate * kBurstSeconds);
+  m_refilledAt = aNow;
 }
 
 void
 CapacityPlanner::OnOtherOrders(std::size_t aCount)
 {
-  m_mayOrder -= static_cast<double>(aCount);
+  m_orderTokens -= static_cast<double>(aCount);
 }
 
 bool
-CapacityPlanner::MayOrder() const
+CapacityPlanner::HasOrderBudget() const
 {
-  return m_isAllowed && m_mayOrder >= 1 &&
+  return m_isAllowed && m_orderTokens >= 1 &&
          m_unanswered.size() < kMostOrdersUnderWay;
 }
 
-// One at a time to the pool that has the smallest share of what it needs: two
-// peaks at once then share what there is. Instances of standby go first, as no
-// other queue can miss them.
+// Gives one instance at a time to the pool with the smallest ratio of actual to
+// desired size, so that two concurrent peaks share the available instances.
+// Instances in standby are moved first, as no other queue needs them.
 void
 CapacityPlanner::FillPools(const WorkerTable& aWorkers,
                            const std::set<WorkerLife>& aReserved,
@@ -335,96 +342,101 @@
                            Pools& aPools,
                            CapacityPlan& aPlan)
 {
-  auto spare = FindSpare(
-    aWorkers, aReserved, aRecord, m_options.m_idleToOther, m_emptying, aNow);
-  const auto isSpare = [&](const Worker* aWorker) {
+  auto movable = FindMovable(aWorkers,
+                             aReserved,
+                             aRecord,
+                             m_options.m_idleBeforeMove,
+                             m_drainingWorkers,
+                             aNow);
+  const auto isSurplus = [&](const Worker* aWorker) {
     const auto pool = aPools.find(aWorker->m_last.m_service);
-    return pool == aPools.end() || pool->second.HasSpare();
+    return pool == aPools.end() || pool->second.HasSurplus();
   };
-  const auto isScarcer = [](const auto& aLeft, const auto& aRight) {
+  const auto isNeedier = [](const auto& aLeft, const auto& aRight) {
     const Pool& left = aLeft.second;
     const Pool& right = aRight.second;
-    return left.m_have * right.m_want < right.m_have * left.m_want;
+    return left.m_actual * right.m_desired < right.m_actual * left.m_desired;
   };
-  while (MayOrder()) {
-    const auto scarcest =
-      std::min_element(aPools.begin(), aPools.end(), isScarcer);
-    if (scarcest == aPools.end() || !scarcest->second.IsShort()) {
+  while (HasOrderBudget()) {
+    const auto neediest =
+      std::min_element(aPools.begin(), aPools.end(), isNeedier);
+    if (neediest == aPools.end() || !neediest->second.IsShort()) {
       return;
     }
     if (const auto standby = FindStandby(aWorkers, aRecord, aNow)) {
-      Order(*standby, nullptr, scarcest->first, aNow, aPlan);
-      ++scarcest->second.m_have;
+      Order(*standby, nullptr, neediest->first, aNow, aPlan);
+      ++neediest->second.m_actual;
       continue;
     }
-    const auto next = std::find_if(spare.begin(), spare.end(), isSpare);
-    if (next == spare.end()) {
+    const auto next = std::find_if(movable.begin(), movable.end(), isSurplus);
+    if (next == movable.end()) {
       return;
     }
     const auto from = aPools.find((*next)->m_last.m_service);
     if (from != aPools.end()) {
-      --from->second.m_have;
+      --from->second.m_actual;
     }
-    ++scarcest->second.m_have;
-    Order((*next)->m_last.m_instance, *next, scarcest->first, aNow, aPlan);
-    spare.erase(next);
+    ++neediest->second.m_actual;
+    Order((*next)->m_last.m_instance, *next, neediest->first, aNow, aPlan);
+    movable.erase(next);
   }
 }
 
-// When the peak of one queue follows that of another, the instances of the
-// first all still run some last tasks, and none is idle for a second or more.
-// Those beyond what their pool needs get no new tasks then: what is left is
-// carried out on the others, and these are empty as soon as their runs end.
+// When the peak of one queue follows that of another, all instances of the
+// first still run a few remaining tasks, and none becomes idle for a second or
+// more. Surplus instances therefore get no new tasks: the remaining ones run on
+// the other instances, and the surplus is free as soon as its own runs end.
 void
-CapacityPlanner::EmptySurplus(const std::set<WorkerLife>& aReserved,
+CapacityPlanner::DrainSurplus(const std::set<WorkerLife>& aReserved,
                               TimePoint aNow,
                               Pools& aPools)
 {
-  m_emptying.clear();
+  m_drainingWorkers.clear();
   if (!m_options.m_mechanisms.Has(Mechanism::kEmptying)) {
     return;
   }
   std::size_t shortage = 0;
   for (const auto& [service, pool] : aPools) {
-    shortage += pool.IsShort() ? pool.m_want - pool.m_have : 0;
+    shortage += pool.IsShort() ? pool.m_desired - pool.m_actual : 0;
   }
   for (auto& [service, pool] : aPools) {
-    std::erase_if(pool.m_emptiable, [&](const Emptiable& aOne) {
-      const WorkerReport& report = aOne.m_worker->m_last;
+    std::erase_if(pool.m_drainable, [&](const Drainable& aCandidate) {
+      const WorkerReport& report = aCandidate.m_worker->m_last;
       return aReserved.contains(report.m_worker) ||
              m_moves.contains(report.m_instance) ||
-             !aOne.m_worker->IsUsable(aNow);
+             !aCandidate.m_worker->IsUsable(aNow);
     });
-    std::sort(pool.m_emptiable.begin(),
-              pool.m_emptiable.end(),
-              [](const Emptiable& aLeft, const Emptiable& aRight) {
-                return aLeft.m_used < aRight.m_used;
+    std::sort(pool.m_drainable.begin(),
+              pool.m_drainable.end(),
+              [](const Drainable& aLeft, const Drainable& aRight) {
+                return aLeft.m_usedCpu < aRight.m_usedCpu;
               });
-    const std::size_t surplus = pool.HasSpare() ? pool.m_have - pool.m_want : 0;
+    const std::size_t surplus =
+      pool.HasSurplus() ? pool.m_actual - pool.m_desired : 0;
     const std::size_t count =
-      std::min({ surplus, shortage, pool.m_emptiable.size() });
+      std::min({ surplus, shortage, pool.m_drainable.size() });
     for (std::size_t i = 0; i < count; ++i) {
-      m_emptying.insert(pool.m_emptiable[i].m_worker->m_last.m_worker);
+      m_drainingWorkers.insert(pool.m_drainable[i].m_worker->m_last.m_worker);
     }
     shortage -= count;
   }
 }
 
 void
-CapacityPlanner::ReleaseIdle(const ServiceId& aStandby,
-                             const WorkerTable& aWorkers,
-                             const std::set<WorkerLife>& aReserved,
-                             const OrderRecord& aRecord,
-                             TimePoint aNow,
-                             Pools& aPools,
-                             CapacityPlan& aPlan)
+CapacityPlanner::MoveIdleToStandby(const ServiceId& aStandby,
+                                   const WorkerTable& aWorkers,
+                                   const std::set<WorkerLife>& aReserved,
+                                   const OrderRecord& aRecord,
+                                   TimePoint aNow,
+                                   Pools& aPools,
+                                   CapacityPlan& aPlan)
 {
-  const auto idle = FindSpare(
-    aWorkers, aReserved, aRecord, m_options.m_idleToStandby, {}, aNow);
+  const auto idle = FindMovable(
+    aWorkers, aReserved, aRecord, m_options.m_idleBeforeStandby, {}, aNow);
   for (const Worker* worker : idle) {
     Pool& pool = aPools[worker->m_last.m_service];
-    if (pool.HasSpare() && MayOrder()) {
-      --pool.m_have;
+    if (pool.HasSurplus() && HasOrderBudget()) {
+      --pool.m_actual;
       Order(worker->m_last.m_instance, worker, aStandby, aNow, aPlan);
     }
   }
@@ -440,35 +452,37 @@
                       WallTime aWall)
 {
   CapacityPlan plan;
-  EarnOrders(aNow);
-  FollowIdle(aState, aWorkers, aNow);
+  RefillOrderTokens(aNow);
+  TrackIdleWorkers(aState, aWorkers, aNow);
   m_leaderSince = aWorkers.LeaderSince();
   const ServiceId* standby = aState.Routes().StandbyPool();
-  Settle(aWorkers, standby, aNow);
-  Pools pools = FindPools(aState, aWorkers, aReserved, aDurations, aNow, aWall);
+  CompleteMoves(aWorkers, standby, aNow);
+  Pools pools =
+    ComputePools(aState, aWorkers, aReserved, aDurations, aNow, aWall);
   for (const auto& [service, pool] : pools) {
     plan.m_needs.push_back({ service,
-                             pool.m_have,
-                             pool.m_want,
-                             pool.m_work / kMilliPerUnit,
+                             pool.m_actual,
+                             pool.m_desired,
+                             pool.m_work / kMilliPerCoreSecond,
                              pool.m_cpu / kMilliPerCore,
-                             pool.m_used / kMilliPerCore });
+                             pool.m_usedCpu / kMilliPerCore });
   }
-  if (aNow >= m_leaderSince + m_options.m_hearWorkers) {
+  if (aNow >= m_leaderSince + m_options.m_reportWait) {
     FillPools(aWorkers, aReserved, aRecord, aNow, pools, plan);
-    EmptySurplus(aReserved, aNow, pools);
+    DrainSurplus(aReserved, aNow, pools);
   }
   const bool isSettled = aNow >= m_leaderSince + m_options.m_betweenLeaders;
   if (isSettled && standby != nullptr &&
       m_options.m_mechanisms.Has(Mechanism::kStandby)) {
-    ReleaseIdle(*standby, aWorkers, aReserved, aRecord, aNow, pools, plan);
+    MoveIdleToStandby(
+      *standby, aWorkers, aReserved, aRecord, aNow, pools, plan);
   }
   for (const auto& [instance, move] : m_moves) {
     if (const Worker* worker = aWorkers.FindByInstance(instance)) {
       plan.m_cordoned.insert(worker->m_last.m_worker);
     }
   }
-  plan.m_cordoned.insert(m_emptying.begin(), m_emptying.end());
+  plan.m_cordoned.insert(m_drainingWorkers.begin(), m_drainingWorkers.end());
   return plan;
 }
 
@@ -477,12 +491,12 @@
                           const ServiceId& aStandby,
                           TimePoint aNow)
 {
-  const auto before = std::exchange(m_standby, {});
+  const auto previous = std::exchange(m_standby, {});
   for (const ListedInstance& instance : aInstances) {
     if (instance.m_pool == aStandby && instance.m_state == InstanceState::kUp) {
-      const auto known = before.find(instance.m_id);
+      const auto known = previous.find(instance.m_id);
       m_standby.emplace(instance.m_id,
-                        known == before.end() ? aNow : known->second);
+                        known == previous.end() ? aNow : known->second);
     }
   }
 }
@@ -494,27 +508,28 @@
 {
   m_unanswered.erase(aOrder.m_number);
   const auto move = m_moves.find(aOrder.m_instance);
-  // It has arrived meanwhile, and may be ordered elsewhere by now.
+  // The instance has arrived already, and may have a newer order.
   if (move == m_moves.end() || move->second.m_number != aOrder.m_number) {
     return std::nullopt;
   }
-  move->second.m_answered = true;
+  move->second.m_isAnswered = true;
   if (aAnswer == InstanceAnswer::kNotSent) {
     m_moves.erase(move);
     return std::nullopt;
   }
   if (aAnswer == InstanceAnswer::kTaken) {
     m_standby.erase(aOrder.m_instance);
-    move->second.m_taken = true;
-    return move->second.m_aimedAt;
+    move->second.m_isAccepted = true;
+    return move->second.m_targetIncarnation;
   }
-  // Refused, or not known: the instance stays where its reports or the
-  // platform's list show it, and is left alone for a while.
+  // The order was refused or its outcome is unknown: the instance stays where
+  // its reports or the platform's list show it, and is not ordered again for a
+  // while.
   if (aAnswer != InstanceAnswer::kUnclear) {
     m_moves.erase(move);
   }
   m_standby.erase(aOrder.m_instance);
-  m_notBefore[aOrder.m_instance] = aNow + kRetryAfter;
+  m_retryNotBefore[aOrder.m_instance] = aNow + kRetryAfter;
   return std::nullopt;
 }
 
--- a/src/placement/demand.cpp
+++ b/src/placement/demand.cpp
@@ -8,75 +8,78 @@
 
 namespace {
 
-/** Objectives since its acceptance after which a job is taken for late: with
- * the stretch of its chain it is due after one and a half; */
+/** Age, in multiples of its objective, after which a job counts as late. With
+ * the stretch of its chain it is due after one and a half. */
 constexpr std::int64_t kLateAfterObjectives = 2;
-/** and for given up by its caller. */
-constexpr std::int64_t kGivenUpAfterObjectives = 5;
-/** Of the CPU of all tasks of the steps at work: they end one by one, so less
- * than that is in use at any moment. */
+/** Age, in the same unit, after which its caller is assumed to have given up.
+ */
+constexpr std::int64_t kAbandonedAfterObjectives = 5;
+/** Percentage of the CPU of all tasks of the active steps that is in use at any
+ * moment: the tasks end one by one. */
 constexpr std::int64_t kInUsePercent = 85;
 
-/** CPU of a step's tasks that are not done. */
+/** CPU of a step's unfinished tasks, in thousandths of a core. */
 std::int64_t
 RemainingCpu(const jobs::StepSpec& aStep, const jobs::StepRun& aRun)
 {
-  const std::int64_t left =
+  const std::int64_t remaining =
     static_cast<std::int64_t>(aRun.m_tasks.size()) - aRun.m_done;
-  return left * aStep.CountedCpu();
+  return remaining * aStep.CountedCpu();
 }
 
 } // namespace
 
-// A step waits for those before it however many instances there are: beyond
-// what can be in use at once they would stand by, moved and paid for.
+// A step waits for the steps it depends on, however many instances there are:
+// instances beyond the concurrent use would be moved and paid for, but idle.
 std::int64_t
-Load::CpuToWorkOffIn(Millis aTime) const
+Load::CpuToFinishIn(Millis aTime) const
 {
   constexpr int kPercent = 100;
-  return std::min(m_work / aTime.count(), m_atOnce * kInUsePercent / kPercent);
+  return std::min(m_work / aTime.count(),
+                  m_maxConcurrentCpu * kInUsePercent / kPercent);
 }
 
 void
 Demand::AddLongRunning(const jobs::StepSpec& aStep)
 {
   m_longRunningCpu += std::int64_t{ aStep.m_count } * aStep.CountedCpu();
-  const std::size_t least =
+  const std::size_t minWorkers =
     aStep.m_maxPerWorker == 0
       ? 1
       : (aStep.m_count + aStep.m_maxPerWorker - 1) / aStep.m_maxPerWorker;
-  m_spread = std::max(m_spread, least);
+  m_minWorkers = std::max(m_minWorkers, minWorkers);
 }
 
-// However old their job is: until a trial tells which of them crashes its
-// workers, they hold up the pool's sound work.
+// Counts suspects regardless of their job's age: until an isolated run shows
+// which of them crashes its workers, they delay the pool's healthy work.
 void
-Demand::AddTrials(const jobs::Job& aJob)
+Demand::AddIsolatedRuns(const jobs::Job& aJob)
 {
   for (const auto& [number, occurrence] : aJob.m_occurrences) {
     for (std::size_t s = 0; s < occurrence.m_steps.size(); ++s) {
       const jobs::StepRun& run = occurrence.m_steps[s];
       for (std::uint32_t i = 0; i < run.m_tasks.size(); ++i) {
         const auto losses = jobs::LossesOf(aJob.m_spec.m_steps[s], run, i);
-        const bool isAlone =
+        const bool needsIsolation =
           jobs::IsSuspect(losses) && !jobs::MayBeTriedTogether(losses);
-        const bool isOver = run.m_tasks[i].m_phase == jobs::TaskPhase::kDone;
-        m_trials += isAlone && !isOver ? 1 : 0;
+        const bool isDone = run.m_tasks[i].m_phase == jobs::TaskPhase::kDone;
+        m_isolatedRuns += needsIsolation && !isDone ? 1 : 0;
       }
     }
   }
 }
 
-// The next step of a job counts as if its turn had come where it is the wider
-// one: an instance that is ordered now arrives by then.
+// The next step of a job counts as if it were active already, if it is the
+// wider one: an instance that is ordered now arrives by the time the step
+// begins.
 void
 Demand::Add(const jobs::Job& aJob,
             const jobs::Occurrence& aOccurrence,
             const Durations& aDurations,
             Load& aLoad)
 {
-  std::int64_t now = 0;
-  std::int64_t next = 0;
+  std::int64_t activeCpu = 0;
+  std::int64_t nextCpu = 0;
   for (std::size_t s = 0; s < aOccurrence.m_steps.size(); ++s) {
     const jobs::StepSpec& step = aJob.m_spec.m_steps[s];
     if (step.m_longRunning) {
@@ -86,12 +89,12 @@
     const std::int64_t cpu = RemainingCpu(step, aOccurrence.m_steps[s]);
     aLoad.m_work += cpu * aDurations.Estimate(step).count();
     if (jobs::Book::IsTurn(aOccurrence, step)) {
-      now += cpu;
+      activeCpu += cpu;
     } else {
-      next = std::max(next, cpu);
+      nextCpu = std::max(nextCpu, cpu);
     }
   }
-  aLoad.m_atOnce += std::max(now, next);
+  aLoad.m_maxConcurrentCpu += std::max(activeCpu, nextCpu);
 }
 
 void
@@ -102,14 +105,14 @@
 {
   const std::int64_t age = aWall.Get() - aJob.m_acceptedAt.Get();
   const std::int64_t objective = aRoute.m_objective.count();
-  Load givenUp;
-  Load* load = &givenUp;
+  Load abandoned;
+  Load* load = &abandoned;
   if (age <= kLateAfterObjectives * objective) {
-    load = &m_fresh;
-  } else if (age <= kGivenUpAfterObjectives * objective) {
+    load = &m_onTime;
+  } else if (age <= kAbandonedAfterObjectives * objective) {
     load = &m_late;
   }
-  // Long-running steps count however old their job is.
+  // Long-running steps count regardless of their job's age.
   for (const auto& [number, occurrence] : aJob.m_occurrences) {
     Add(aJob, occurrence, aDurations, *load);
   }
--- a/src/placement/demand.h
+++ b/src/placement/demand.h
@@ -5,40 +5,42 @@
 
 namespace bamboostile::placement {
 
-/** What tasks that end by themselves ask for. */
+/** Demand of tasks that end by themselves. */
 struct Load
 {
   /** CPU times duration, in thousandths of a core times ms. */
   std::int64_t m_work = 0;
-  /** CPU that can be in use at once, in thousandths of a core. */
-  std::int64_t m_atOnce = 0;
+  /** CPU that tasks can use concurrently, in thousandths of a core. */
+  std::int64_t m_maxConcurrentCpu = 0;
 
-  /** CPU that works it off in that time, but no more than can be in use. */
-  std::int64_t CpuToWorkOffIn(Millis aTime) const;
+  /** Returns the CPU that completes the work in aTime, but no more than can be
+   * used concurrently. */
+  std::int64_t CpuToFinishIn(Millis aTime) const;
 };
 
-/** What the jobs of one service ask for. */
+/** Demand of all jobs of a service. */
 struct Demand
 {
-  /** What can still be in time, and what is late. */
-  Load m_fresh;
+  /** Jobs that can still be done in time. */
+  Load m_onTime;
+  /** Jobs that are late, but whose callers still wait. */
   Load m_late;
   std::int64_t m_longRunningCpu = 0;
-  /** Workers that long-running tasks need to stay apart. */
-  std::size_t m_spread = 0;
-  /** Tasks that each need a worker to themselves to be tried on. */
-  std::size_t m_trials = 0;
+  /** Workers that long-running tasks need, given the limit per worker. */
+  std::size_t m_minWorkers = 0;
+  /** Suspects that each need a worker of their own for an isolated run. */
+  std::size_t m_isolatedRuns = 0;
 
   void Add(const jobs::Job& aJob,
            const fleet::QueueRoute& aRoute,
            const Durations& aDurations,
            WallTime aWall);
 
-  void AddTrials(const jobs::Job& aJob);
+  void AddIsolatedRuns(const jobs::Job& aJob);
 
 private:
   void AddLongRunning(const jobs::StepSpec& aStep);
-  /** Adds to aLoad what ends by itself, to this what does not. */
+  /** Adds tasks that end by themselves to aLoad, long-running ones to this. */
   void Add(const jobs::Job& aJob,
            const jobs::Occurrence& aOccurrence,
            const Durations& aDurations,
--- a/src/placement/maintenance.cpp
+++ b/src/placement/maintenance.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 std::size_t
-LoadOf(const InstanceId& aInstance,
-       const jobs::Book& aBook,
-       const WorkerTable& aWorkers)
+CountTasks(const InstanceId& aInstance,
+           const jobs::Book& aBook,
+           const WorkerTable& aWorkers)
 {
   const Worker* worker = aWorkers.FindByInstance(aInstance);
   if (worker == nullptr) {
@@ -23,7 +23,7 @@
 }
 
 bool
-HoldsBudgetedTask(const WorkerLife& aWorker, const jobs::Book& aBook)
+HasLongRunningTask(const WorkerLife& aWorker, const jobs::Book& aBook)
 {
   const auto placed = aBook.Placed().find(aWorker);
   if (placed == aBook.Placed().end()) {
@@ -48,11 +48,11 @@
     case InstanceAnswer::kBusy:
       return "the instance is busy";
     case InstanceAnswer::kNotMeant:
-      return "not meant for the instance";
+      return "not applicable to the instance";
     case InstanceAnswer::kOvertaken:
-      return "overtaken by a later leader";
+      return "superseded by a later leader";
     case InstanceAnswer::kNotSent:
-      return "given up before it was sent";
+      return "abandoned before it was sent";
     case InstanceAnswer::kUnclear:
       return "no clear answer";
   }
@@ -63,16 +63,16 @@
 Describe(AdvanceCause aCause) noexcept
 {
   switch (aCause) {
-    case AdvanceCause::kTurn:
-      return "its turn has come";
+    case AdvanceCause::kScheduled:
+      return "ready to go down, within the cap";
     case AdvanceCause::kTaken:
-      return "the order was taken";
+      return "the order was accepted";
     case AdvanceCause::kRefused:
       return "the only order was refused";
     case AdvanceCause::kNotMeant:
-      return "the platform does not know it, or not for this wave";
-    case AdvanceCause::kListedElsewhere:
-      return "listed in another state, with no order on its way";
+      return "unknown to the platform, or not part of this wave";
+    case AdvanceCause::kListedInOtherState:
+      return "listed in another state, with no order in flight";
     case AdvanceCause::kReported:
       return "it has reported since it went down";
     case AdvanceCause::kListedUp:
@@ -81,8 +81,8 @@
   return "unknown";
 }
 
-// An order is sent when nothing is lost by it: no long-running task is there
-// any more, and what ends by itself has ended or has had its time.
+// To avoid losing work, an instance is ready only once it holds no long-running
+// task and its other tasks have ended or the drain timeout has passed.
 bool
 MaintenancePlanner::IsReady(const InstanceId& aInstance,
                             const Waiting& aStep,
@@ -94,27 +94,28 @@
     return false;
   }
   const Worker* worker = aWorkers.FindByInstance(aInstance);
-  const bool waitedOut = aNow >= *aStep.m_cordonedSince + m_options.m_patience;
+  const bool hasTimedOut =
+    aNow >= *aStep.m_cordonedSince + m_options.m_drainTimeout;
   if (worker == nullptr) {
-    return waitedOut && aWorkers.KnowsAllLeases(aNow);
+    return hasTimedOut && aWorkers.KnowsAllLeases(aNow);
   }
-  if (HoldsBudgetedTask(worker->m_last.m_worker, aState.Jobs())) {
+  if (HasLongRunningTask(worker->m_last.m_worker, aState.Jobs())) {
     return false;
   }
-  const bool isEmpty = LoadOf(aInstance, aState.Jobs(), aWorkers) == 0 &&
+  const bool isEmpty = CountTasks(aInstance, aState.Jobs(), aWorkers) == 0 &&
                        worker->m_last.m_active.empty();
-  return isEmpty || waitedOut;
+  return isEmpty || hasTimedOut;
 }
 
 MaintenancePlanner::Step
-MaintenancePlanner::FollowStep(const Step& aBefore,
-                               fleet::MaintenanceStep aNext,
-                               TimePoint aNow)
+MaintenancePlanner::NextStep(const Step& aPrevious,
+                             fleet::MaintenanceStep aNext,
+                             TimePoint aNow)
 {
-  const auto* waiting = std::get_if<Waiting>(&aBefore);
-  const auto* ordered = std::get_if<Ordered>(&aBefore);
+  const auto* waiting = std::get_if<Waiting>(&aPrevious);
+  const auto* ordered = std::get_if<Ordered>(&aPrevious);
   if (aNext == fleet::MaintenanceStep::kDown) {
-    return std::holds_alternative<Down>(aBefore) ? aBefore : Down{ aNow };
+    return std::holds_alternative<Down>(aPrevious) ? aPrevious : Down{ aNow };
   }
   if (aNext == fleet::MaintenanceStep::kWaiting) {
     Waiting next;
@@ -122,34 +123,35 @@
     return waiting == nullptr ? next : *waiting;
   }
   Ordered next;
-  const bool isOwn = waiting != nullptr && waiting->m_hasTurn;
-  next.m_isRepeated = !isOwn;
-  next.m_aimedAt = isOwn ? waiting->m_aimedAt : std::nullopt;
-  next.m_unclearAt = aNow;
+  const bool isOwnOrder = waiting != nullptr && waiting->m_isScheduled;
+  next.m_isRepeated = !isOwnOrder;
+  next.m_targetIncarnation =
+    isOwnOrder ? waiting->m_targetIncarnation : std::nullopt;
+  next.m_lastUnclearAt = aNow;
   return ordered == nullptr ? next : *ordered;
 }
 
 void
-MaintenancePlanner::FollowSteps(const fleet::State& aState, TimePoint aNow)
+MaintenancePlanner::SyncSteps(const fleet::State& aState, TimePoint aNow)
 {
-  auto before = std::exchange(m_steps, {});
+  auto previous = std::exchange(m_steps, {});
   for (const auto& [number, wave] : aState.Maintenance()) {
     for (const auto& [instance, step] : wave.m_instances) {
       const MaintenanceOrder key{ number, instance };
       const bool isOver = step == fleet::MaintenanceStep::kDone ||
                           step == fleet::MaintenanceStep::kSkipped;
       if (!isOver) {
-        m_steps.emplace(key, FollowStep(before[key], step, aNow));
+        m_steps.emplace(key, NextStep(previous[key], step, aNow));
       }
     }
   }
 }
 
-// An order that an earlier leader left open is repeated, but not onto what was
-// placed there since: the instance gets nothing new from the first moment on,
-// and long-running tasks leave it first. Without both, the order would take
-// several tasks of one step away at once. A worker that this leader has not
-// heard yet may run some, until the leases of earlier leaders have ended.
+// Repeats an order that an earlier leader left open, without hitting tasks
+// placed there since: the instance is cordoned at once, and long-running tasks
+// are moved away first. Without both, the order would take down several tasks
+// of one step at once. A worker that has not reported to this leader yet may
+// run some until the leases of earlier leaders have ended.
 void
 MaintenancePlanner::PlanOrdered(const MaintenanceOrder& aOrder,
                                 const Ordered& aStep,
@@ -159,23 +161,24 @@
                                 MaintenancePlan& aPlan)
 {
   const Worker* worker = aWorkers.FindByInstance(aOrder.m_instance);
-  const auto& lives = aWorkers.LivesOf(aOrder.m_instance);
-  aPlan.m_cordoned.insert(lives.begin(), lives.end());
-  const bool isQuietOver =
+  const auto& incarnations = aWorkers.LivesOf(aOrder.m_instance);
+  aPlan.m_cordoned.insert(incarnations.begin(), incarnations.end());
+  const bool mayOrder =
     aNow >= aWorkers.LeaderSince() + m_options.m_quietAfterElection;
-  const bool isFree =
+  const bool isDrained =
     worker == nullptr
       ? aWorkers.KnowsAllLeases(aNow)
-      : !HoldsBudgetedTask(worker->m_last.m_worker, aState.Jobs());
-  if (isQuietOver && isFree && !aWorkers.IsContested(aOrder.m_instance) &&
+      : !HasLongRunningTask(worker->m_last.m_worker, aState.Jobs());
+  if (mayOrder && isDrained && !aWorkers.IsContested(aOrder.m_instance) &&
       aNow >= aStep.m_notBefore) {
     aPlan.m_orders.push_back(aOrder);
   }
 }
 
-// A report that was sent before the instance went down may come this late. An
-// earlier one is worth a look at the platform's list, which alone tells of
-// instances that are off.
+// A report proves that the instance is back only if it comes later than
+// `m_lateReports` after the instance went down: before that it may have been
+// sent earlier and delayed. Such a report still makes reading the platform's
+// list worthwhile, which is the only evidence for instances that are off.
 void
 MaintenancePlanner::PlanDown(const MaintenanceOrder& aOrder,
                              const Down& aStep,
@@ -184,31 +187,32 @@
                              MaintenancePlan& aPlan)
 {
   const Worker* worker = aWorkers.FindByInstance(aOrder.m_instance);
-  const bool isHeard =
+  const bool hasReported =
     worker != nullptr && !worker->m_silent && worker->m_heardAt > aStep.m_since;
-  const bool isProof =
-    isHeard &&
+  const bool isConclusive =
+    hasReported &&
     worker->m_heardAt > aStep.m_since + aWorkers.Options().m_lateReports;
-  if (isProof || aStep.m_isListedUp) {
+  if (isConclusive || aStep.m_isListedUp) {
     aPlan.m_advances.push_back(
       { { aOrder.m_wave, aOrder.m_instance, fleet::MaintenanceStep::kDone },
         aStep.m_isListedUp ? AdvanceCause::kListedUp
                            : AdvanceCause::kReported });
     return;
   }
-  const bool isExpected = isHeard || aNow >= aStep.m_since + m_options.m_takes;
+  const bool isExpected =
+    hasReported || aNow >= aStep.m_since + m_options.m_takes;
   aPlan.m_wantsList =
     aPlan.m_wantsList ||
-    (isExpected && aNow < aStep.m_since + m_options.m_listFor);
+    (isExpected && aNow < aStep.m_since + m_options.m_listPollWindow);
 }
 
 void
-MaintenancePlanner::PlanTurns(const fleet::MaintenanceWave& aWave,
-                              const fleet::State& aState,
-                              const WorkerTable& aWorkers,
-                              TimePoint aNow,
-                              WaveCaps& aCaps,
-                              MaintenancePlan& aPlan)
+MaintenancePlanner::ScheduleWaiting(const fleet::MaintenanceWave& aWave,
+                                    const fleet::State& aState,
+                                    const WorkerTable& aWorkers,
+                                    TimePoint aNow,
+                                    WaveCaps& aCaps,
+                                    MaintenancePlan& aPlan)
 {
   const auto stepOf = [&](const InstanceId& aInstance) -> Waiting& {
     return std::get<Waiting>(m_steps.at({ aWave.m_number, aInstance }));
@@ -223,32 +227,32 @@
   const auto rank = [&](const InstanceId& aInstance) {
     return std::make_tuple(!stepOf(aInstance).m_cordonedSince.has_value(),
                            aWorkers.FindByInstance(aInstance) == nullptr,
-                           LoadOf(aInstance, aState.Jobs(), aWorkers));
+                           CountTasks(aInstance, aState.Jobs(), aWorkers));
   };
   std::sort(
     waiting.begin(), waiting.end(), [&](const auto& aLeft, const auto& aRight) {
       return rank(aLeft) < rank(aRight);
     });
-  waiting.resize(
-    std::min(waiting.size(), aCaps.RoomIn(aWave) + m_options.m_ahead));
+  waiting.resize(std::min(waiting.size(),
+                          aCaps.RemainingIn(aWave) + m_options.m_drainAhead));
   for (const InstanceId& instance : waiting) {
     Waiting& step = stepOf(instance);
     step.m_cordonedSince = step.m_cordonedSince.value_or(aNow);
-    const auto& lives = aWorkers.LivesOf(instance);
-    aPlan.m_cordoned.insert(lives.begin(), lives.end());
-    if (!aCaps.MayGoDown(instance) ||
+    const auto& incarnations = aWorkers.LivesOf(instance);
+    aPlan.m_cordoned.insert(incarnations.begin(), incarnations.end());
+    if (!aCaps.CanTakeDown(instance) ||
         !IsReady(instance, step, aState, aWorkers, aNow)) {
       continue;
     }
-    aCaps.OnDown(instance);
+    aCaps.MarkDown(instance);
     const Worker* worker = aWorkers.FindByInstance(instance);
-    step.m_hasTurn = true;
-    step.m_aimedAt = worker == nullptr
-                       ? std::nullopt
-                       : std::optional{ worker->m_last.m_worker };
+    step.m_isScheduled = true;
+    step.m_targetIncarnation = worker == nullptr
+                                 ? std::nullopt
+                                 : std::optional{ worker->m_last.m_worker };
     aPlan.m_advances.push_back(
       { { aWave.m_number, instance, fleet::MaintenanceStep::kOrdered },
-        AdvanceCause::kTurn });
+        AdvanceCause::kScheduled });
   }
 }
 
@@ -278,7 +282,7 @@
                step->second);
   }
   if (aNow >= aWorkers.LeaderSince() + m_options.m_quietAfterElection) {
-    PlanTurns(aWave, aState, aWorkers, aNow, aCaps, aPlan);
+    ScheduleWaiting(aWave, aState, aWorkers, aNow, aCaps, aPlan);
   }
 }
 
@@ -288,7 +292,7 @@
                          TimePoint aNow)
 {
   MaintenancePlan plan;
-  FollowSteps(aState, aNow);
+  SyncSteps(aState, aNow);
   WaveCaps caps(aState.Maintenance());
   for (const auto& [number, wave] : aState.Maintenance()) {
     if (!wave.IsDone()) {
@@ -310,8 +314,8 @@
                          : OnAnswer(aOrder, *step, aAnswer, aNow);
 }
 
-// "Busy" and "taken" to a repeated order may both be about the earlier sending,
-// so neither tells what became of this one.
+// If an order was repeated, "busy" and "accepted" may both refer to the earlier
+// transmission, so neither shows the outcome of this one.
 MaintenanceResult
 MaintenancePlanner::OnAnswer(const MaintenanceOrder& aOrder,
                              Ordered& aStep,
@@ -325,7 +329,8 @@
   };
   switch (aAnswer) {
     case InstanceAnswer::kTaken:
-      result.m_ended = aStep.m_isRepeated ? std::nullopt : aStep.m_aimedAt;
+      result.m_ended =
+        aStep.m_isRepeated ? std::nullopt : aStep.m_targetIncarnation;
       advance(fleet::MaintenanceStep::kDown, AdvanceCause::kTaken);
       aStep.m_isRepeated = true;
       break;
@@ -339,8 +344,8 @@
       break;
     case InstanceAnswer::kUnclear:
       aStep.m_isRepeated = true;
-      aStep.m_unclearAt = aNow;
-      aStep.m_isElsewhere = false;
+      aStep.m_lastUnclearAt = aNow;
+      aStep.m_isInOtherState = false;
       break;
     case InstanceAnswer::kNotSent:
     case InstanceAnswer::kOvertaken:
@@ -356,16 +361,17 @@
   if (!aStep.m_isRepeated) {
     return AdvanceCause::kRefused;
   }
-  return aStep.m_isElsewhere ? std::optional{ AdvanceCause::kListedElsewhere }
-                             : std::nullopt;
+  return aStep.m_isInOtherState
+           ? std::optional{ AdvanceCause::kListedInOtherState }
+           : std::nullopt;
 }
 
 void
 MaintenancePlanner::OnListed(const InstanceList& aList)
 {
   std::map<InstanceId, InstanceState> states;
-  for (const ListedInstance& one : aList.m_instances) {
-    states.emplace(one.m_id, one.m_state);
+  for (const ListedInstance& instance : aList.m_instances) {
+    states.emplace(instance.m_id, instance.m_state);
   }
   for (auto& [order, step] : m_steps) {
     const auto found = states.find(order.m_instance);
@@ -378,11 +384,11 @@
         down->m_isListedUp ||
         (state == InstanceState::kUp && aList.m_askedAt >= down->m_since);
     } else if (auto* ordered = std::get_if<Ordered>(&step)) {
-      const bool isElsewhere =
+      const bool isInOtherState =
         state == InstanceState::kMoving || state == InstanceState::kDown;
-      ordered->m_isElsewhere =
-        isElsewhere && aList.m_askedAt >=
-                         ordered->m_unclearAt + m_options.m_quietAfterElection;
+      ordered->m_isInOtherState =
+        isInOtherState && aList.m_askedAt >= ordered->m_lastUnclearAt +
+                                               m_options.m_quietAfterElection;
     }
   }
 }
--- a/src/placement/wave_caps.cpp
+++ b/src/placement/wave_caps.cpp
@@ -22,7 +22,7 @@
 }
 
 std::size_t
-WaveCaps::RoomIn(const fleet::MaintenanceWave& aWave) const
+WaveCaps::RemainingIn(const fleet::MaintenanceWave& aWave) const
 {
   const auto down = static_cast<std::size_t>(
     std::count_if(m_down.begin(), m_down.end(), [&](const auto& aInstance) {
@@ -32,11 +32,12 @@
 }
 
 bool
-WaveCaps::MayGoDown(const InstanceId& aInstance) const
+WaveCaps::CanTakeDown(const InstanceId& aInstance) const
 {
   return !IsDown(aInstance) &&
          std::all_of(m_open.begin(), m_open.end(), [&](const auto* aWave) {
-           return !aWave->m_instances.contains(aInstance) || RoomIn(*aWave) > 0;
+           return !aWave->m_instances.contains(aInstance) ||
+                  RemainingIn(*aWave) > 0;
          });
 }
 
--- a/tests/unit/placement/capacity_test.cpp
+++ b/tests/unit/placement/capacity_test.cpp
@@ -18,7 +18,7 @@
   placement::CapacityPlanner m_planner;
   placement::OrderRecord m_record{ Millis{ 3000 } };
 
-  /** A second service, "other", and a pool "spare" that is off. */
+  /** Adds a second service, "other", and a standby pool, "spare". */
   void setup() override
   {
     fleet::RouteTable table = m_fleet.State().Routes();
@@ -33,20 +33,20 @@
     m_fleet.Do(fleet::ReplaceRoutes{ table });
   }
 
-  void Hear(const std::string& aWorker,
-            const std::string& aService,
-            std::int64_t aAt,
-            std::uint64_t aSequence = 1)
+  void SendReport(const std::string& aWorker,
+                  const std::string& aService,
+                  std::int64_t aAt,
+                  std::uint64_t aSequence = 1)
   {
     WorkerReport report = Report(aWorker, aSequence);
     report.m_service = ServiceId{ aService };
     m_table.OnReport(report, m_fleet.Book(), At(aAt), WallTime{ 0 });
   }
 
-  void Pool(const std::string& aService, int aCount)
+  void AddPool(const std::string& aService, int aCount)
   {
     for (int i = 0; i < aCount; ++i) {
-      Hear(aService + std::to_string(i), aService, 9000);
+      SendReport(aService + std::to_string(i), aService, 9000);
     }
   }
 
@@ -72,7 +72,7 @@
     m_planner.OnListed(off, ServiceId{ "spare" }, At(0));
   }
 
-  /** One instance, in standby as far as the platform's list tells. */
+  /** Lists one instance as being in standby. */
   void ListAsStandby(const std::string& aInstance, std::int64_t aAt)
   {
     m_planner.OnListed({ { InstanceId{ aInstance },
@@ -82,10 +82,10 @@
                        At(aAt));
   }
 
-  /** What is ordered in that time, each answered at once; maintenance gives
-   * as many orders before each look. */
-  std::vector<MoveOrder> OrderedIn(std::int64_t aMs,
-                                   std::size_t aMaintenance = 0)
+  /** Returns the orders of aMs, each accepted at once, with aMaintenance
+   * maintenance orders sent before each pass. */
+  std::vector<MoveOrder> OrdersWithin(std::int64_t aMs,
+                                      std::size_t aMaintenance = 0)
   {
     std::vector<MoveOrder> all;
     for (std::int64_t at = 10'000; at < 10'000 + aMs; at += 100) {
@@ -98,8 +98,8 @@
     return all;
   }
 
-  /** Long-running tasks on the first four workers of "desk", one on each. */
-  void StartFourApart()
+  /** Starts a long-running task on each of the first four workers of "desk". */
+  void StartFourOnSeparateWorkers()
   {
     StepSpec step = Step(4, 100);
     step.m_longRunning = true;
@@ -110,7 +110,7 @@
     }
   }
 
-  /** 24 s of work on workers of 4 cores: four in 1.5 s. */
+  /** Submits 24 core-seconds of work: four workers of 4 cores for 1.5 s. */
   void SubmitPeak()
   {
     m_fleet.Submit("peak", Spec({ Step(24, 1000) }));
@@ -119,8 +119,8 @@
 
 TEST(CapacityPlanner, StandbyAndIdleInstances_StandbyComesFirst)
 {
-  Pool("desk", 3);
-  Pool("other", 5);
+  AddPool("desk", 3);
+  AddPool("other", 5);
   ListAsStandby("off", 0);
   Next(10'000);
   SubmitPeak();
@@ -131,8 +131,8 @@
 
 TEST(CapacityPlanner, PeakInOneQueue_OneStandbyInstanceIsOrdered)
 {
-  Pool("desk", 3);
-  Pool("other", 3);
+  AddPool("desk", 3);
+  AddPool("other", 3);
   ListAsStandby("off", 0);
   SubmitPeak();
   const CapacityPlan plan = Next(10'000);
@@ -144,8 +144,8 @@
 
 TEST(CapacityPlanner, NoStandby_IdleInstanceOfAnotherPoolIsOrdered)
 {
-  Pool("desk", 3);
-  Pool("other", 5);
+  AddPool("desk", 3);
+  AddPool("other", 5);
   SubmitPeak();
   LONGS_EQUAL(0, Next(10'000).m_orders.size());
   const CapacityPlan plan = Next(10'500);
@@ -154,11 +154,11 @@
   LONGS_EQUAL(1, plan.m_cordoned.size());
 }
 
-// Work on an instance that is moved is lost.
+// A moved instance loses its runs.
 TEST(CapacityPlanner, InstanceWithARun_IsNotMoved)
 {
-  Pool("desk", 3);
-  Pool("other", 4);
+  AddPool("desk", 3);
+  AddPool("other", 4);
   m_fleet.Apply({ Submit{ JobId{ "busy" },
                           QueueId{ "host/o/" },
                           Spec({ Step(4, 1000) }),
@@ -171,10 +171,10 @@
   LONGS_EQUAL(0, Next(10'500).m_orders.size());
 }
 
-TEST(CapacityPlanner, IdleForLong_GoesToStandbyDownToTheLeast)
+TEST(CapacityPlanner, IdleForLong_GoesToStandbyDownToTheMinimum)
 {
-  Pool("desk", 5);
-  Pool("other", 3);
+  AddPool("desk", 5);
+  AddPool("other", 3);
   Next(10'000);
   LONGS_EQUAL(0, Next(10'600).m_orders.size());
   const CapacityPlan plan = Next(10'800);
@@ -182,23 +182,24 @@
   CHECK_STRING("spare", plan.m_orders[0].m_to.Get());
 }
 
-// long-running tasks that must be apart need a worker each, and one more, so
-// that the task of a lost worker finds room at once.
-TEST(CapacityPlanner, LongRunningTasksThatStayApart_KeepTheirWorkersAndOneMore)
+// Long-running tasks with a limit of one per worker need a worker each, and one
+// more, so that the task of a lost worker finds free capacity at once.
+TEST(CapacityPlanner,
+     LongRunningTasksOnSeparateWorkers_KeepTheirWorkersAndOneMore)
 {
-  Pool("desk", 7);
-  StartFourApart();
+  AddPool("desk", 7);
+  StartFourOnSeparateWorkers();
   Next(10'000);
   LONGS_EQUAL(2, Next(12'600).m_orders.size());
 }
 
-// A new leader must not order an instance within 3 s of an order of the one
-// before, which it finds on record. One that it sees up was not ordered in the
-// 1.5 s that a move takes, so it waits as long again; after 3 s it need not
-// look at that any more.
+// A new leader must not order an instance within 3 s of the earlier leader's
+// order for it, which is on record. An instance seen up was not ordered in the
+// 1.5 s that a move takes, so 1.5 s more suffice; 3 s after the election the
+// record no longer matters.
 TEST(CapacityPlanner, NewLeader_OrdersNothingThatAnEarlierOneMayHaveOrdered)
 {
-  Pool("desk", 1);
+  AddPool("desk", 1);
   m_record.Inherit({ InstanceId{ "off" } }, At(0));
   ListAsStandby("off", 1000);
   LONGS_EQUAL(0, Next(2400).m_orders.size());
@@ -207,44 +208,45 @@
 
 TEST(CapacityPlanner, InstanceListedLate_IsOrderedThreeSecondsAfterElection)
 {
-  Pool("desk", 1);
+  AddPool("desk", 1);
   m_record.Inherit({ InstanceId{ "off" } }, At(0));
   ListAsStandby("off", 2000);
   LONGS_EQUAL(0, Next(2900).m_orders.size());
   CHECK(!Next(3000).m_orders.empty());
 }
 
-// Power fails in a peak. Callers wait for instances, and none of those in
-// standby has had an order lately: they are ordered as soon as workers have
-// been heard, not when a pause for orders that nobody gave is over.
+// Guards against a needless pause after a power failure during a peak: no
+// instance in standby has a recent order on record, so they are ordered as soon
+// as workers have reported.
 TEST(CapacityPlanner, NewLeader_InstanceNotOnRecord_IsOrderedAtOnce)
 {
-  Pool("desk", 1);
+  AddPool("desk", 1);
   ListAsStandby("off", 10);
   LONGS_EQUAL(0, Next(200).m_orders.size());
   LONGS_EQUAL(1, Next(300).m_orders.size());
 }
 
-// A new leader has heard one worker of five that hold long-running tasks. The
-// others are there as well, as the state shows, and must not be replaced.
-TEST(CapacityPlanner, NewLeader_BusyWorkersNotHeardYet_AreNotReplaced)
+// Guards against replacing busy workers: only one of the four workers that hold
+// long-running tasks, and an idle fifth one, have reported to a new leader. The
+// state shows the others.
+TEST(CapacityPlanner, NewLeader_BusyWorkersNotReportedYet_AreNotReplaced)
 {
-  StartFourApart();
-  Hear("desk0", "desk", 300);
-  Hear("desk4", "desk", 300);
+  StartFourOnSeparateWorkers();
+  SendReport("desk0", "desk", 300);
+  SendReport("desk4", "desk", 300);
   for (int i = 0; i < 3; ++i) {
-    Hear("other" + std::to_string(i), "other", 300);
+    SendReport("other" + std::to_string(i), "other", 300);
   }
   ListStandby(10);
   LONGS_EQUAL(0, Next(400).m_orders.size());
 }
 
-// Peaks follow each other within seconds; an instance that has just gone to
-// standby is the next one that is needed.
-TEST(CapacityPlanner, MovedToStandby_IsThereOnceTheMoveHasTakenItsTime)
+// Peaks follow each other within seconds, so an instance that has just moved to
+// standby may be needed again at once.
+TEST(CapacityPlanner, MovedToStandby_IsAvailableAfterTheMoveDuration)
 {
-  Pool("desk", 3);
-  Pool("other", 4);
+  AddPool("desk", 3);
+  AddPool("other", 4);
   Next(10'000);
   const CapacityPlan plan = Next(11'600);
   LONGS_EQUAL(1, plan.m_orders.size());
@@ -258,16 +260,16 @@
   CHECK_STRING("desk", back.m_orders[0].m_to.Get());
 }
 
-TEST(CapacityPlanner, OnlyAClearAnswer_EndsALife)
+TEST(CapacityPlanner, OnlyAnAcceptedOrder_EndsAnIncarnation)
 {
-  Pool("desk", 3);
-  Pool("other", 5);
+  AddPool("desk", 3);
+  AddPool("other", 5);
   SubmitPeak();
   Next(10'000);
   const MoveOrder order = Next(10'500).m_orders.at(0);
   CHECK(!m_planner.OnAnswer(order, InstanceAnswer::kUnclear, At(10'600)));
   CHECK(!m_planner.OnAnswer(order, InstanceAnswer::kBusy, At(10'700)));
-  // Refused: it may be ordered again later, by then with an answer.
+  // A refused instance may be ordered again after a delay.
   const CapacityPlan again = Next(13'000);
   CHECK(!again.m_orders.empty());
   CHECK(
@@ -275,16 +277,16 @@
       .has_value());
 }
 
-// A queue asks for twenty times what its pool holds. Callers wait until
-// instances arrive, 1.5 s after they were ordered, so as many are ordered as
-// the platform takes: 64 a second, and none is ordered twice.
-TEST(CapacityPlanner, PeakFarAboveThePool_OrdersAsFastAsThePlatformTakes)
+// A queue needs twenty times the capacity of its pool. Callers wait until
+// instances arrive, 1.5 s after the order, so orders are sent at the platform's
+// rate limit of 64 per second, and none is sent twice.
+TEST(CapacityPlanner, PeakFarAboveThePool_OrdersAtThePlatformsRate)
 {
-  Pool("desk", 3);
-  Pool("other", 3);
+  AddPool("desk", 3);
+  AddPool("other", 3);
   ListStandby(200);
   m_fleet.Submit("peak", Spec({ Step(1200, 1000) }));
-  const std::vector<MoveOrder> orders = OrderedIn(1000);
+  const std::vector<MoveOrder> orders = OrdersWithin(1000);
   std::set<InstanceId> ordered;
   for (const MoveOrder& order : orders) {
     ordered.insert(order.m_instance);
@@ -294,26 +296,26 @@
   CHECK(orders.size() <= 64);
 }
 
-// The same peak while a wave orders 30 instances in a second: the platform
-// turns away what is above its rate, and a wave must not be late for that.
+// The same peak while a wave orders 30 instances per second: the platform
+// rejects orders above its rate limit, which must not delay the wave.
 TEST(CapacityPlanner, PeakWhileMaintenanceOrders_BothStayWithinTheRate)
 {
-  Pool("desk", 3);
-  Pool("other", 3);
+  AddPool("desk", 3);
+  AddPool("other", 3);
   ListStandby(200);
   m_fleet.Submit("peak", Spec({ Step(1200, 1000) }));
   constexpr std::size_t kOtherOrders = 30;
-  const std::vector<MoveOrder> orders = OrderedIn(1000, kOtherOrders / 10);
+  const std::vector<MoveOrder> orders = OrdersWithin(1000, kOtherOrders / 10);
   CHECK(orders.size() >= 48 - kOtherOrders);
   CHECK(orders.size() <= 64 - kOtherOrders);
 }
 
-// The platform has stopped answering: what waits takes effect on what has
-// changed since, so no more than a bound waits.
-TEST(CapacityPlanner, OrdersNotAnswered_NoMoreThanABoundWait)
+// The platform has stopped answering. A delayed order acts on a state that has
+// changed since, so the number of unanswered orders is limited.
+TEST(CapacityPlanner, OrdersNotAnswered_AreLimited)
 {
-  Pool("desk", 3);
-  Pool("other", 3);
+  AddPool("desk", 3);
+  AddPool("other", 3);
   ListStandby(200);
   m_fleet.Submit("peak", Spec({ Step(1200, 1000) }));
   std::size_t orders = 0;
@@ -323,63 +325,63 @@
   LONGS_EQUAL(kMostOrdersUnderWay, orders);
 }
 
-// Jobs of four steps that wait for each other have four times the work that can
-// be done at once. Instances for all of it would stand by, moved and paid for,
+// Jobs of four dependent steps have four times the work that can run
+// concurrently. Instances for all of it would be moved and paid for, but idle,
 // and no caller would be served sooner.
-TEST(CapacityPlanner, StepsThatWaitForEachOther_OrderOnlyWhatCanBeUsedAtOnce)
+TEST(CapacityPlanner, DependentSteps_OrderOnlyWhatCanBeUsedConcurrently)
 {
-  Pool("desk", 3);
-  Pool("other", 3);
+  AddPool("desk", 3);
+  AddPool("other", 3);
   ListStandby(40);
   std::vector<StepSpec> steps(4, Step(24, 1000));
   for (std::uint32_t s = 1; s < 4; ++s) {
     steps[s].m_dependsOn = { s - 1 };
   }
   m_fleet.Submit("chain", Spec(steps));
-  // 24 cores can be in use at once: six instances of 4, of which three are
-  // there.
-  LONGS_EQUAL(3, OrderedIn(1000).size());
+  // 24 cores can be in use concurrently: six instances of 4 cores, of which the
+  // pool has three.
+  LONGS_EQUAL(3, OrdersWithin(1000).size());
 }
 
-// The second step is wider than the first and comes within a move's time; its
-// tasks would find a pool that is sized for the first.
+// The second step is wider than the first and begins before a move completes;
+// otherwise its tasks would find a pool that is sized for the first.
 TEST(CapacityPlanner, NextStepIsWider_InstancesAreOrderedAhead)
 {
-  Pool("desk", 3);
-  Pool("other", 3);
+  AddPool("desk", 3);
+  AddPool("other", 3);
   ListStandby(40);
   StepSpec wide = Step(40, 1000);
   wide.m_dependsOn = { 0 };
   m_fleet.Submit("widening", Spec({ Step(1, 1000), wide }));
-  CHECK(OrderedIn(1000).size() >= 4);
+  CHECK(OrdersWithin(1000).size() >= 4);
 }
 
-// Two queues peak at once. Served one after the other, the callers of the
-// second would find nothing left; both get the same share of what they need.
-TEST(CapacityPlanner, TwoPeaksAtOnce_ShareWhatThereIs)
+// Guards against starvation when two queues peak at once: both get the same
+// share of what they need, instead of nothing for the second one.
+TEST(CapacityPlanner, ConcurrentPeaks_ShareTheInstances)
 {
-  Pool("desk", 3);
-  Pool("other", 3);
+  AddPool("desk", 3);
+  AddPool("other", 3);
   ListStandby(4);
   SubmitPeak();
   m_fleet.Apply({ Submit{ JobId{ "peak too" },
                           QueueId{ "host/o/" },
                           Spec({ Step(24, 1000) }),
                           WallTime{ 0 } } });
-  std::map<ServiceId, int> got;
+  std::map<ServiceId, int> ordersByPool;
   for (const MoveOrder& order : Next(10'000).m_orders) {
-    ++got[order.m_to];
+    ++ordersByPool[order.m_to];
   }
-  LONGS_EQUAL(1, got[ServiceId{ "desk" }]);
-  LONGS_EQUAL(1, got[ServiceId{ "other" }]);
+  LONGS_EQUAL(1, ordersByPool[ServiceId{ "desk" }]);
+  LONGS_EQUAL(1, ordersByPool[ServiceId{ "other" }]);
 }
 
-// Callers declare a tenth of what their tasks take; the pool is sized by what
-// they took before.
-TEST(CapacityPlanner, DeclaredTooShort_SizedByWhatTasksTook)
+// Callers declare a tenth of the actual duration of their tasks; the pool is
+// sized by the durations learned from earlier tasks.
+TEST(CapacityPlanner, DeclaredTooShort_SizedByLearnedDurations)
 {
-  Pool("desk", 3);
-  Pool("other", 3);
+  AddPool("desk", 3);
+  AddPool("other", 3);
   ListStandby(20);
   StepSpec step = Step(24, 1000);
   step.m_estimate = Millis{ 100 };
@@ -390,13 +392,13 @@
   CHECK(!Next(10'100).m_orders.empty());
 }
 
-// The peak of one queue is over when that of the next begins: each of its
-// instances still runs a task. Were all kept in use until the last has ended,
+// One queue's peak ends as the next one's begins, while each of its instances
+// still runs a task. If all were kept in use until the last task has ended,
 // callers of the second queue would wait a second longer.
-TEST(CapacityPlanner, SurplusStillBusy_IsEmptiedForAPoolThatIsShort)
+TEST(CapacityPlanner, SurplusStillBusy_IsDrainedForAPoolThatIsShort)
 {
-  Pool("desk", 3);
-  Pool("other", 8);
+  AddPool("desk", 3);
+  AddPool("other", 8);
   m_fleet.Apply({ Submit{ JobId{ "last tasks" },
                           QueueId{ "host/o/" },
                           Spec({ Step(8, 1000) }),
@@ -409,9 +411,9 @@
   const CapacityPlan plan = Next(10'100);
   LONGS_EQUAL(0, plan.m_orders.size());
   LONGS_EQUAL(1, plan.m_cordoned.size());
-  const WorkerLife emptied = *plan.m_cordoned.begin();
+  const WorkerLife drained = *plan.m_cordoned.begin();
   for (std::uint32_t i = 0; i < 8; ++i) {
-    if (emptied.m_id.Get() == "other" + std::to_string(i)) {
+    if (drained.m_id.Get() == "other" + std::to_string(i)) {
       m_fleet.End(Ref("last tasks", i), RunEnd::kDone);
     }
   }
@@ -420,11 +422,11 @@
   CHECK_STRING("desk", next.m_orders[0].m_to.Get());
 }
 
-// Emptying a worker moves its long-running tasks away, which is a disruption.
-TEST(CapacityPlanner, SurplusWithLongRunningTasks_IsNotEmptied)
+// Draining a worker moves its long-running tasks away, which is a disruption.
+TEST(CapacityPlanner, SurplusWithLongRunningTasks_IsNotDrained)
 {
-  Pool("desk", 3);
-  Pool("other", 8);
+  AddPool("desk", 3);
+  AddPool("other", 8);
   StepSpec step = Step(8, 100);
   step.m_longRunning = true;
   m_fleet.Apply({ Submit{ JobId{ "lasting" },
@@ -438,12 +440,12 @@
   LONGS_EQUAL(0, Next(10'000).m_cordoned.size());
 }
 
-// A peak has left jobs that are late. Their callers still wait for them; were
-// the pool cut down to what is in time, most would come after they gave up.
+// A peak has left late jobs whose callers still wait. If the pool were sized
+// for timely jobs only, most results would arrive after the callers gave up.
 TEST(CapacityPlanner, LateJobs_StillKeepInstances)
 {
-  Pool("desk", 3);
-  Pool("other", 3);
+  AddPool("desk", 3);
+  AddPool("other", 3);
   ListStandby(20);
   m_fleet.Submit("late", Spec({ Step(96, 1000) }), -8000);
   std::size_t orders = 0;
@@ -453,22 +455,22 @@
   LONGS_EQUAL(3, orders);
 }
 
-TEST(CapacityPlanner, JobsLongGivenUp_OrderNoInstances)
+TEST(CapacityPlanner, AbandonedJobs_OrderNoInstances)
 {
-  Pool("desk", 3);
-  Pool("other", 3);
+  AddPool("desk", 3);
+  AddPool("other", 3);
   ListStandby(20);
   m_fleet.Submit("given-up", Spec({ Step(96, 1000) }), -30'000);
   LONGS_EQUAL(0, Next(10'000).m_orders.size());
 }
 
-// Each worker holds a task that must stay apart from the others, and two are to
-// be maintained. Their tasks wait for a worker that has none, and the wave for
-// them, unless the pool gets as many more as are about to go.
+// Guards against a blocked wave: two workers are to be maintained, and each
+// task needs a worker of its own. The tasks wait for a free worker, and the
+// wave waits for them, unless the pool gets a replacement for each.
 TEST(CapacityPlanner, WorkersAboutToBeMaintained_AreReplaced)
 {
-  Pool("desk", 5);
-  Pool("other", 3);
+  AddPool("desk", 5);
+  AddPool("other", 3);
   ListStandby(10);
   StepSpec step = Step(4, 100);
   step.m_longRunning = true;
@@ -479,62 +481,61 @@
   LONGS_EQUAL(2, Next(10'100).m_orders.size());
 }
 
-// A new leader has heard no worker yet, and so does not know how many of them a
-// backlog needs.
-TEST(CapacityPlanner, NoWorkerHeardYet_NothingIsOrdered)
+// No worker has reported to a new leader yet, so the size of a worker, and the
+// number that a backlog needs, are unknown.
+TEST(CapacityPlanner, NoWorkerReportedYet_NothingIsOrdered)
 {
   ListStandby(20);
   SubmitPeak();
   LONGS_EQUAL(0, Next(10'000).m_orders.size());
 }
 
-// The platform's list was read just before an instance left standby, and came
-// just after. The instance has arrived and runs long-running tasks; a second
-// order would end them all at once, beyond what their step allows.
+// The platform's list was read just before an instance left standby, and
+// arrived just after. The instance already runs long-running tasks; a second
+// order would end them all at once, more than their step allows.
 TEST(CapacityPlanner, ListedOffButReporting_IsNotOrderedAgain)
 {
-  Pool("desk", 3);
-  Pool("other", 3);
+  AddPool("desk", 3);
+  AddPool("other", 3);
   ListAsStandby("instance-of-other0", 9500);
   SubmitPeak();
   LONGS_EQUAL(0, Next(10'000).m_orders.size());
 }
 
-// A report comes from another writer: it names a service that no configuration
-// has. Its sender idles, but it is not ours to order about, however short a
-// pool is.
+// A report of a foreign writer names a service that is not configured. Its idle
+// sender does not belong to this fleet and must not be moved, even if a pool is
+// short.
 TEST(CapacityPlanner, WorkerOfUnnamedService_IsNeverMoved)
 {
-  Pool("desk", 3);
-  Pool("strange", 4);
+  AddPool("desk", 3);
+  AddPool("strange", 4);
   SubmitPeak();
   Next(10'000);
   LONGS_EQUAL(0, Next(13'000).m_orders.size());
 }
 
-// The operator sees more tasks of a step away than its budget allows. The
-// leader's calls to the platform stand still for seconds: an order leaves, and
-// is obeyed, long after it was decided. Once the move has had its time, the
-// instance counts as free again and gets long-running tasks, and then the order
-// arrives. Orders were seen to leave up to 8.8 s after their decision.
-TEST(CapacityPlanner, OrderNotAnsweredForLong_InstanceGetsNothingNew)
+// Guards against more tasks of a step down than its budget allows: the leader's
+// calls to the platform stall, and an order is sent up to 8.8 s after its
+// decision. If the instance counted as free after the usual time of a move, it
+// would get long-running tasks before the order is executed.
+TEST(CapacityPlanner, OrderNotAnsweredForLong_InstanceStaysCordoned)
 {
-  Pool("desk", 3);
-  Pool("other", 5);
+  AddPool("desk", 3);
+  AddPool("other", 5);
   SubmitPeak();
   Next(10'000);
   const MoveOrder order = Next(10'500).m_orders.at(0);
-  const WorkerLife* aimed = nullptr;
+  const WorkerLife* target = nullptr;
   for (const auto& [id, worker] : m_table.Workers()) {
-    aimed = worker.m_last.m_instance == order.m_instance ? &id : aimed;
+    target = worker.m_last.m_instance == order.m_instance ? &id : target;
   }
   for (std::uint64_t i = 0; i < 100; ++i) {
     const std::int64_t at = 10'600 + static_cast<std::int64_t>(i) * 100;
-    Hear(aimed->m_id.Get(), "other", at, 2 + i);
+    SendReport(target->m_id.Get(), "other", at, 2 + i);
     const CapacityPlan plan = Next(at);
-    CHECK(plan.m_cordoned.contains(*aimed));
-    for (const MoveOrder& one : plan.m_orders) {
-      CHECK(one.m_instance != order.m_instance);
+    CHECK(plan.m_cordoned.contains(*target));
+    for (const MoveOrder& other : plan.m_orders) {
+      CHECK(other.m_instance != order.m_instance);
     }
   }
 }
--- a/tests/unit/placement/maintenance_test.cpp
+++ b/tests/unit/placement/maintenance_test.cpp
@@ -19,7 +19,7 @@
   placement::WorkerTable m_table{ LeaseOptions{}, At(0) };
   placement::MaintenancePlanner m_planner;
 
-  void Hear(
+  void SendReport(
     const std::string& aWorker, std::uint64_t aSequence, std::int64_t aAt)
   {
     m_table.OnReport(
@@ -35,7 +35,7 @@
       const std::string name = "w" + std::to_string(i);
       wave.m_instances[InstanceId{ "instance-of-" + name }] =
         fleet::MaintenanceStep::kWaiting;
-      Hear(name, 1, 9000);
+      SendReport(name, 1, 9000);
     }
     m_fleet.Do(fleet::StartMaintenance{ wave });
   }
@@ -54,14 +54,15 @@
     return m_fleet.State().Maintenance().at(1);
   }
 
-  /** The platform's list as it was, asked for and read at that time. */
-  void List(const InstanceId& aInstance, InstanceState aState, std::int64_t aAt)
+  /** Delivers the platform's list, requested and read at aAt. */
+  void DeliverList(
+    const InstanceId& aInstance, InstanceState aState, std::int64_t aAt)
   {
     m_planner.OnListed(
       { At(aAt), { { aInstance, ServiceId{ "desk" }, aState } } });
   }
 
-  /** The first order of a wave of one instance, taken at 10.2 s. */
+  /** Sends the first order of a wave of one instance, accepted at 10.2 s. */
   MaintenanceOrder TakeDown()
   {
     Next(10'000);
@@ -89,8 +90,8 @@
   LONGS_EQUAL(0, Wave().Down());
 }
 
-// An order without a clear answer may have been obeyed: the instance counts as
-// down, and the order is repeated, until the platform says which.
+// An order without a clear answer may have been executed: the instance counts
+// as down and the order is repeated until the platform's answer is clear.
 TEST(MaintenancePlanner, UnclearAnswer_InstanceStaysOrdered)
 {
   StartWave(2, 1);
@@ -102,7 +103,7 @@
   LONGS_EQUAL(1, Next(10'300).m_orders.size());
 }
 
-TEST(MaintenancePlanner, OrderTakenAtOnce_EndsTheLifeItWasAimedAt)
+TEST(MaintenancePlanner, OrderAcceptedAtOnce_EndsTheTargetIncarnation)
 {
   StartWave(1, 1);
   Next(10'000);
@@ -112,10 +113,10 @@
   CHECK_STRING("w0", result.m_ended->m_id.Get());
 }
 
-// The caller sees a job run twice. An order is obeyed, its answer is lost with
-// the leader, the instance comes back and gets new runs; the next leader
-// repeats the order and hears that it is taken. The new life has not ended.
-TEST(MaintenancePlanner, OrderRepeatedAndTaken_EndsNoLife)
+// Guards against a job that runs twice: an order is executed, its answer is
+// lost with the leader, and the instance returns and gets new runs. "Accepted"
+// to the next leader's repeated order must not end the new incarnation.
+TEST(MaintenancePlanner, OrderRepeatedAndAccepted_EndsNoIncarnation)
 {
   StartWave(1, 1);
   Next(10'000);
@@ -129,11 +130,11 @@
   CHECK(taken.m_advance.has_value());
 }
 
-// A task runs twice. A leader's order is being obeyed when the next leader
-// repeats it and hears that the instance is busy; taken for a refusal, that
-// lets the wave order the instance anew, by then with its next life, and
-// "taken", which may mean "done already", would end the runs of that life.
-TEST(MaintenancePlanner, OrderOfEarlierLeaderBusy_StaysOpenAndEndsNoLife)
+// Guards against a task that runs twice: an order is being executed when the
+// next leader repeats it and is answered "busy". Treated as a refusal, that
+// would order the next incarnation of the instance, whose runs would end with
+// "accepted", which may mean "done already".
+TEST(MaintenancePlanner, OrderOfEarlierLeaderBusy_StaysOpenAndEndsNoIncarnation)
 {
   StartWave(1, 1);
   const InstanceId instance{ "instance-of-w0" };
@@ -151,11 +152,11 @@
   CHECK(taken.m_advance.has_value());
 }
 
-// The operator sees a service below its budget 3 s after a change of leader.
-// The new leader has not heard the worker of an instance with an open order;
-// what runs there holds a lease of the leader before, and is not known to be
-// gone until such leases have ended.
-TEST(MaintenancePlanner, WorkerNotHeardYet_OrderWaitsForEarlierLeases)
+// Guards against a service below its budget 3 s after a change of leader: the
+// worker of an instance with an open order has not reported to the new leader.
+// Its runs hold leases of the earlier leader, so they may continue until these
+// have ended.
+TEST(MaintenancePlanner, WorkerNotReportedYet_OrderWaitsForEarlierLeases)
 {
   fleet::MaintenanceWave wave;
   wave.m_number = 1;
@@ -167,10 +168,10 @@
   LONGS_EQUAL(1, Next(4800).m_orders.size());
 }
 
-// The operator sees a service below its budget. A leader committed an order and
-// was cut off; the next one must place nothing there while it may not order
-// yet, and must not order onto long-running tasks that are there all the same.
-TEST(MaintenancePlanner, OrderLeftOpen_NextLeaderKeepsTheInstanceFreeFirst)
+// Guards against a service below its budget: a leader committed an order and
+// was cut off. The next one must place nothing there while it may not send
+// orders yet, and must not repeat the order while long-running tasks are there.
+TEST(MaintenancePlanner, OrderLeftOpen_NextLeaderDrainsTheInstanceFirst)
 {
   StartWave(1, 1);
   m_fleet.Do(fleet::AdvanceMaintenance{
@@ -199,16 +200,17 @@
   LONGS_EQUAL(0, Wave().Down());
 }
 
-// Guards against a report of the life that the order ended, or of one that it
-// ended unheard, which passes for one of the next life.
+// Guards against a delayed report of an incarnation that the order ended, even
+// one that had not reported before, which is mistaken for one of the next
+// incarnation.
 TEST(MaintenancePlanner, LateReport_InstanceIsNotBack)
 {
   StartWave(1, 1);
   TakeDown();
-  Hear("w0", 2, 13'200);
+  SendReport("w0", 2, 13'200);
   CHECK(Next(13'300).m_wantsList);
   CHECK(!Wave().IsDone());
-  Hear("w0", 3, 13'400);
+  SendReport("w0", 3, 13'400);
   Next(13'500);
   CHECK(Wave().IsDone());
 }
@@ -224,22 +226,22 @@
   m_table.OnReport(back, m_fleet.Book(), At(12'500), WallTime{ 0 });
   CHECK(Next(12'500).m_wantsList);
   CHECK(!Wave().IsDone());
-  List(order.m_instance, InstanceState::kUp, 12'550);
+  DeliverList(order.m_instance, InstanceState::kUp, 12'550);
   Next(12'600);
   CHECK(Wave().IsDone());
 }
 
-// Guards against a list that was read before the order was obeyed.
+// Guards against a list that was read before the order was executed.
 TEST(MaintenancePlanner, ListedUpBeforeItWentDown_InstanceIsNotBack)
 {
   StartWave(1, 1);
   const auto order = TakeDown();
-  List(order.m_instance, InstanceState::kUp, 10'250);
+  DeliverList(order.m_instance, InstanceState::kUp, 10'250);
   Next(10'400);
   CHECK(!Wave().IsDone());
 }
 
-// Guards against an instance that counts as back because time has passed.
+// Guards against an instance that counts as back after a timeout.
 TEST(MaintenancePlanner, InstanceStaysDownForLong_WaveWaits)
 {
   StartWave(2, 1);
@@ -249,26 +251,26 @@
                  m_fleet.Book(),
                  WallTime{ 0 });
   for (int at = 12'000; at < 60'000; at += 500) {
-    List(order.m_instance, InstanceState::kMaintenance, at);
+    DeliverList(order.m_instance, InstanceState::kMaintenance, at);
     LONGS_EQUAL(0, Next(at).m_orders.size());
   }
   LONGS_EQUAL(1, Wave().Down());
 }
 
-// Guards against a wave that is told done while its instance is down, as the
-// instance was back from an earlier wave.
+// Guards against a wave that is reported done while its instance is down,
+// because the instance had returned from an earlier wave.
 TEST(MaintenancePlanner, InstanceOfSecondWaveIsDown_WaveIsNotDone)
 {
   StartWave(1, 1);
   const auto order = TakeDown();
-  List(order.m_instance, InstanceState::kUp, 12'500);
+  DeliverList(order.m_instance, InstanceState::kUp, 12'500);
   Next(12'600);
   CHECK(Wave().IsDone());
   fleet::MaintenanceWave second;
   second.m_number = 2;
   second.m_instances[order.m_instance] = fleet::MaintenanceStep::kWaiting;
   m_fleet.Do(fleet::StartMaintenance{ second });
-  Hear("w0", 2, 19'000);
+  SendReport("w0", 2, 19'000);
   Next(20'000);
   const auto again = Next(20'100).m_orders.at(0);
   m_fleet.Do(m_planner.OnAnswer(again, InstanceAnswer::kTaken, At(20'200))
@@ -277,25 +279,25 @@
   Next(20'300);
   Next(24'400);
   CHECK(!m_fleet.State().Maintenance().at(2).IsDone());
-  List(order.m_instance, InstanceState::kUp, 24'500);
+  DeliverList(order.m_instance, InstanceState::kUp, 24'500);
   Next(24'600);
   CHECK(m_fleet.State().Maintenance().at(2).IsDone());
 }
 
-// Instances of a pool that is off have no worker that could report.
+// Instances in standby are off, so they have no worker that could report.
 TEST(MaintenancePlanner, InstanceThatNeverReports_WaveEndsOnceItIsListedUp)
 {
   StartWave(1, 1);
   const auto order = TakeDown();
   m_table.Retire(Life("w0"), m_fleet.Book(), WallTime{ 0 });
   CHECK(Next(12'400).m_wantsList);
-  List(order.m_instance, InstanceState::kUp, 12'400);
+  DeliverList(order.m_instance, InstanceState::kUp, 12'400);
   Next(12'500);
   CHECK(Wave().IsDone());
 }
 
 // Guards against two waves that each count only their own orders.
-TEST(MaintenancePlanner, WavesAtOnceOverTheSameInstances_EachCapIsKept)
+TEST(MaintenancePlanner, ConcurrentWavesOverTheSameInstances_EachCapIsKept)
 {
   StartWave(4, 1);
   fleet::MaintenanceWave second = Wave();
@@ -305,34 +307,34 @@
   LONGS_EQUAL(1, Next(10'100).m_orders.size());
 }
 
-// An instance that is lost for good answers "busy" to each order. Once it is
-// listed in another state, and no sending can be on its way, it holds up no
-// other.
-TEST(MaintenancePlanner, UnclearOrderAndInstanceListedDown_CountsAsNotObeyed)
+// An instance that is permanently lost answers "busy" to each order. It must
+// not block others once it is listed in another state and no transmission can
+// be in flight.
+TEST(MaintenancePlanner, UnclearOrderAndInstanceListedDown_CountsAsNotExecuted)
 {
   StartWave(1, 1);
   Next(10'000);
   const auto order = Next(10'100).m_orders.at(0);
   m_planner.OnAnswer(order, InstanceAnswer::kUnclear, At(10'200));
-  List(order.m_instance, InstanceState::kDown, 12'000);
+  DeliverList(order.m_instance, InstanceState::kDown, 12'000);
   CHECK(
     !m_planner.OnAnswer(order, InstanceAnswer::kBusy, At(12'100)).m_advance);
-  List(order.m_instance, InstanceState::kDown, 13'300);
+  DeliverList(order.m_instance, InstanceState::kDown, 13'300);
   const auto busy =
     m_planner.OnAnswer(order, InstanceAnswer::kBusy, At(13'700)).m_advance;
   CHECK(busy.has_value());
-  CHECK(busy->m_cause == AdvanceCause::kListedElsewhere);
+  CHECK(busy->m_cause == AdvanceCause::kListedInOtherState);
 }
 
-// Guards against each way in which an order can fail, before and after it is
-// obeyed, when the same leader or the next one asks again: while it may have
-// been obeyed, the instance counts as down.
+// Covers each way in which an order can fail, before and after it is executed,
+// when the same leader or the next one repeats it: while it may have been
+// executed, the instance counts as down.
 TEST(MaintenancePlanner, OrderFailsInAnyWay_CountsUntilItsOutcomeIsKnown)
 {
   struct Failure
   {
     InstanceAnswer m_first;
-    /** What a second sending is answered. */
+    /** The answer to the second transmission. */
     InstanceAnswer m_second;
     bool m_staysOrdered;
   };
@@ -355,8 +357,8 @@
         fleet::MaintenanceStep::kWaiting;
       fleet.Do(fleet::StartMaintenance{ wave });
       m_table = placement::WorkerTable{ LeaseOptions{}, At(0) };
-      Hear("w0", 1, 9000);
-      Hear("w1", 1, 9000);
+      SendReport("w0", 1, 9000);
+      SendReport("w1", 1, 9000);
       m_planner = MaintenancePlanner{};
       const auto next = [&](std::int64_t aAt) {
         auto plan = m_planner.Next(fleet.State(), m_table, At(aAt));
@@ -377,17 +379,17 @@
       const bool stays = failure.m_staysOrdered || isNextLeader;
       CHECK_EQUAL(stays, !second.m_advance.has_value());
       const auto orders = next(11'200).m_orders;
-      CHECK(std::all_of(orders.begin(), orders.end(), [&](const auto& aOne) {
-        return aOne == order;
+      CHECK(std::all_of(orders.begin(), orders.end(), [&](const auto& aOther) {
+        return aOther == order;
       }));
     }
   }
 }
 
-// Guards against any series of orders, lists and reports that are lost, late
-// or about another sending, of crashes and of leaders, in waves one after the
-// other and at once.
-TEST(MaintenancePlanner, WavesUnderAnyTrouble_CapIsKeptAndEachWaveEnds)
+// Runs successive and concurrent waves under random faults: orders, lists and
+// reports that are lost, delayed or refer to another transmission, crashes of
+// instances, and changes of the leader.
+TEST(MaintenancePlanner, WavesUnderRandomFaults_CapIsKeptAndEachWaveEnds)
 {
   const char* more = std::getenv("BAMBOOSTILE_SEEDS");
   const unsigned seeds = more == nullptr ? 40 : std::stoul(more);
@@ -413,10 +415,10 @@
       }
       hosting.Pass(Millis{ 1000 });
     }
-    const auto areDone = [&]() {
+    const auto areAllDone = [&]() {
       return hosting.IsDone(1) && hosting.IsDone(2) && hosting.IsDone(3);
     };
-    for (int second = 0; second < 300 && !areDone(); ++second) {
+    for (int second = 0; second < 300 && !areAllDone(); ++second) {
       hosting.Pass(Millis{ 1000 });
     }
     const std::string name = "seed " + std::to_string(seed);
