--- a/include/bamboostile/waves/planner.h
+++ b/include/bamboostile/waves/planner.h
@@ -6,19 +6,19 @@
 
 namespace bamboostile::waves {
 
-/** How much of a service may be out, and what takes it up already. */
+/** How many instances of a service may be out of service, and how many are. */
 struct Budget
 {
   std::size_t m_instances = 0;
-  /** Floor of the service's share. */
+  /** The service's maximum unavailable share, rounded down. */
   std::size_t m_allowed = 0;
-  /** Out for any reason but a wave. */
+  /** Instances that are out for another reason than a wave. */
   std::size_t m_unplanned = 0;
   std::size_t m_outByWaves = 0;
-  /** The largest rack still in service, kept free so that it may fail. */
+  /** Size of the largest rack in service, reserved so that it may fail. */
   std::size_t m_reserve = 0;
 
-  /** Instances that waves may have out together. */
+  /** The maximum number of instances that all waves together may take out. */
   std::size_t Limit() const
   {
     const std::size_t taken = m_unplanned + m_reserve;
@@ -32,31 +32,31 @@
 {
   Budget m_budget;
   std::size_t m_steps = 0;
-  /** Rounds of at most Limit() instances, each drained and restarted. */
+  /** Number of rounds, each draining and restarting up to Limit() instances. */
   std::size_t m_rounds = 0;
-  /** Empty if the wave can go on. */
+  /** Why the wave cannot proceed; empty if it can. */
   std::string m_blocked;
 };
 
 Preview PreviewWave(const fleet::State& aState, const PoolId& aPool);
 
-/** What the leader sees besides the state. */
+/** The leader's observations that are not part of the replicated state. */
 struct Observed
 {
-  /** No entry sends to the instance and nothing is under way there. */
+  /** Whether no entry routes to the instance and it has no request left. */
   std::function<bool(const fleet::Instance&)> m_isEmpty;
 };
 
 /**
- * @brief The next steps of all running waves, as commands for the log.
+ * @brief Returns the next steps of all open waves, as commands for the log.
  *
- * Asked again after each change; since every step names the step it starts
- * from, a proposal made twice, or by two leaders, counts once.
+ * Called again after each change. Every command names the step it starts from,
+ * so a command proposed twice, or by two leaders, takes effect once.
  */
 std::vector<fleet::Command> NextSteps(const fleet::State& aState,
                                       const Observed& aObserved);
 
-/** Instances that wait to be restarted by the platform. */
+/** Returns the instances that the platform is to restart. */
 std::vector<const fleet::Instance*> Released(const fleet::State& aState);
 
 } // namespace bamboostile::waves
--- a/src/waves/planner.cpp
+++ b/src/waves/planner.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kPercent = 100;
 
 bool
-IsOutUnplanned(const State& aState, const Instance& aInstance)
+IsUnavailableUnplanned(const State& aState, const Instance& aInstance)
 {
   const auto pool = aState.Pools().find(*aInstance.m_pool);
   const bool draining = pool != aState.Pools().end() && pool->second.m_draining;
@@ -46,7 +46,7 @@
 {
   switch (aStep.m_step) {
     case WaveStep::kDraining:
-      // A lost instance runs nothing that we could wait for.
+      // A lost instance has no requests to wait for.
       if (aInstance.m_lost || aObserved.m_isEmpty(aInstance)) {
         return WaveStep::kReleased;
       }
@@ -62,12 +62,12 @@
   return std::nullopt;
 }
 
-/** Waiting instances, those first whose rack is out already: a rack half out
- * is one failure domain less to lose. */
+/** Returns the waiting instances, those first whose rack already has instances
+ * out, so that as few failure domains as possible are weakened at a time. */
 std::vector<InstanceId>
-WaitingInOrder(const State& aState, const Wave& aWave)
+WaitingByRack(const State& aState, const Wave& aWave)
 {
-  std::set<RackId> touched;
+  std::set<RackId> startedRacks;
   std::vector<InstanceId> waiting;
   for (const auto& [id, step] : aWave.m_instances) {
     const auto instance = aState.Instances().find(id);
@@ -77,7 +77,7 @@
     if (step.m_step == WaveStep::kWaiting) {
       waiting.push_back(id);
     } else if (instance->second.m_wave) {
-      touched.insert(instance->second.m_announced.m_rack);
+      startedRacks.insert(instance->second.m_announced.m_rack);
     }
   }
   const auto rack = [&](const InstanceId& aId) -> const RackId& {
@@ -86,8 +86,8 @@
   std::sort(waiting.begin(),
             waiting.end(),
             [&](const InstanceId& aLeft, const InstanceId& aRight) {
-              const bool left = touched.contains(rack(aLeft));
-              const bool right = touched.contains(rack(aRight));
+              const bool left = startedRacks.contains(rack(aLeft));
+              const bool right = startedRacks.contains(rack(aRight));
               if (left != right) {
                 return left;
               }
@@ -122,7 +122,7 @@
     ++budget.m_instances;
     if (instance.m_wave) {
       ++budget.m_outByWaves;
-    } else if (IsOutUnplanned(aState, instance)) {
+    } else if (IsUnavailableUnplanned(aState, instance)) {
       ++budget.m_unplanned;
     } else {
       ++racks[instance.m_announced.m_rack];
@@ -185,8 +185,8 @@
     if (!open) {
       continue;
     }
-    // Instances already out come back also while a wave is paused or braked:
-    // holding them would spend budget for nothing.
+    // Instances that are already out return even while the wave is paused or
+    // braked: keeping them out would use up budget without benefit.
     bool ended = true;
     for (const auto& [instanceId, step] : wave.m_instances) {
       const auto instance = aState.Instances().find(instanceId);
@@ -214,7 +214,7 @@
       commands.push_back(fleet::CloseWave{ id, WaveState::kBraked, reason });
       continue;
     }
-    for (const InstanceId& next : WaitingInOrder(aState, wave)) {
+    for (const InstanceId& next : WaitingByRack(aState, wave)) {
       if (budget->second.m_outByWaves >= budget->second.Limit()) {
         break;
       }
--- a/tests/unit/waves/planner_test.cpp
+++ b/tests/unit/waves/planner_test.cpp
@@ -23,13 +23,13 @@
 
   void Announce(int aNumber, std::uint64_t aIncarnation, int aPerRack)
   {
-    Announcement said;
-    said.m_id = InstanceId{ "w" + std::to_string(aNumber) };
-    said.m_incarnation = Incarnation{ aIncarnation };
-    said.m_sequence = 1;
-    said.m_service = ServiceId{ "s" };
-    said.m_rack = RackId{ "r" + std::to_string(aNumber / aPerRack) };
-    Apply(AnnounceInstances{ { said } });
+    Announcement announcement;
+    announcement.m_id = InstanceId{ "w" + std::to_string(aNumber) };
+    announcement.m_incarnation = Incarnation{ aIncarnation };
+    announcement.m_sequence = 1;
+    announcement.m_service = ServiceId{ "s" };
+    announcement.m_rack = RackId{ "r" + std::to_string(aNumber / aPerRack) };
+    Apply(AnnounceInstances{ { announcement } });
   }
 
   Index Do(Call aCall, std::uint64_t aExpected)
@@ -58,7 +58,7 @@
   std::size_t Step()
   {
     const waves::Observed observed{ [this](const Instance&) {
-      return m_empty;
+      return m_isEmpty;
     } };
     const auto commands = waves::NextSteps(m_state, observed);
     for (const Command& command : commands) {
@@ -67,17 +67,17 @@
     return commands.size();
   }
 
-  std::size_t Out() const
+  std::size_t OutByWaves() const
   {
     return waves::ComputeBudget(m_state, ServiceId{ "s" }).m_outByWaves;
   }
 
-  const Wave& TheWave() const
+  const Wave& CurrentWave() const
   {
     return m_state.Waves().at(WaveId{ "v" });
   }
 
-  /** The platform restarts all that were released. */
+  /** Simulates the platform's restart of all released instances. */
   void RestartReleased()
   {
     std::vector<InstanceId> released;
@@ -93,21 +93,21 @@
   Index m_index;
   int m_calls = 0;
   int m_perRack = 4;
-  bool m_empty = true;
+  bool m_isEmpty = true;
 };
 
 TEST(WavePlanner, Wave_RunToEnd_RestartsEachOnceWithinBudget)
 {
   Build(12, 4, 25, false);
   StartWave();
-  std::size_t most = 0;
-  for (int i = 0; i < 100 && TheWave().m_state != WaveState::kDone; ++i) {
+  std::size_t maxOut = 0;
+  for (int i = 0; i < 100 && CurrentWave().m_state != WaveState::kDone; ++i) {
     Step();
-    most = std::max(most, Out());
+    maxOut = std::max(maxOut, OutByWaves());
     RestartReleased();
   }
-  CHECK(TheWave().m_state == WaveState::kDone);
-  LONGS_EQUAL(3, most);
+  CHECK(CurrentWave().m_state == WaveState::kDone);
+  LONGS_EQUAL(3, maxOut);
   for (const auto& [id, instance] : m_state.Instances()) {
     LONGS_EQUAL(2, instance.m_announced.m_incarnation.Get());
     CHECK_FALSE(instance.m_wave.has_value());
@@ -117,55 +117,55 @@
 TEST(WavePlanner, WorkUnderWay_InstanceIsNotReleased)
 {
   Build(4, 4, 25, false);
-  m_empty = false;
+  m_isEmpty = false;
   StartWave();
   Step();
-  LONGS_EQUAL(1, Out());
+  LONGS_EQUAL(1, OutByWaves());
   Step();
   LONGS_EQUAL(0, waves::Released(m_state).size());
-  m_empty = true;
+  m_isEmpty = true;
   Step();
   LONGS_EQUAL(1, waves::Released(m_state).size());
 }
 
-// Two instances died by themselves. They use up the budget, so the wave takes
-// out nothing more.
+// Two unplanned losses use up the budget, so the wave takes no instance out.
 TEST(WavePlanner, UnplannedLosses_CountAgainstTheBudget)
 {
   Build(10, 4, 20, false);
   Apply(LoseInstances{ { InstanceId{ "w8" }, InstanceId{ "w9" } } });
   StartWave();
   Step();
-  LONGS_EQUAL(0, Out());
+  LONGS_EQUAL(0, OutByWaves());
 }
 
-// Instances fail while the wave has its share out: together they are over the
-// budget. The wave brakes with the reason, and those out still come back.
-TEST(WavePlanner, LossesDuringWave_BrakeItAndStrandNothing)
+// An instance fails while the wave has used its budget, so that together they
+// exceed it. The wave brakes and states the reason, and the instances that are
+// out still return.
+TEST(WavePlanner, LossesDuringWave_BrakeItAndInstancesReturn)
 {
   Build(10, 4, 20, false);
   StartWave();
   Step();
-  LONGS_EQUAL(2, Out());
+  LONGS_EQUAL(2, OutByWaves());
   Apply(LoseInstances{ { InstanceId{ "w8" } } });
   Step();
-  CHECK(TheWave().m_state == WaveState::kBraked);
-  CHECK(TheWave().m_reason.find("exceed") != std::string::npos);
+  CHECK(CurrentWave().m_state == WaveState::kBraked);
+  CHECK(CurrentWave().m_reason.find("exceed") != std::string::npos);
   RestartReleased();
   Step();
   RestartReleased();
   Step();
-  LONGS_EQUAL(0, Out());
+  LONGS_EQUAL(0, OutByWaves());
 }
 
-TEST(WavePlanner, BudgetThatCannotBeMet_PreviewSaysWhyBeforeAnythingMoves)
+TEST(WavePlanner, BudgetThatCannotBeMet_PreviewGivesTheReason)
 {
   Build(8, 4, 20, true);
   const auto preview = waves::PreviewWave(m_state, PoolId{ "p" });
   CHECK(preview.m_blocked.find("largest rack keeps 4") != std::string::npos);
   StartWave();
   Step();
-  LONGS_EQUAL(0, Out());
+  LONGS_EQUAL(0, OutByWaves());
 }
 
 TEST(WavePlanner, RackToSurvive_StaysCovered)
@@ -178,9 +178,9 @@
   CHECK(budget.m_outByWaves + budget.m_reserve <= budget.m_allowed);
 }
 
-// The leader changes between any two steps; the new one asks the planner
-// again with the same state, and both proposals reach the log.
-TEST(WavePlanner, LeaderChange_StepsProposedTwice_TakenOnce)
+// The leader changes between two steps; the new one plans again from the same
+// state, and the commands of both reach the log.
+TEST(WavePlanner, LeaderChange_StepsProposedTwice_ApplyOnce)
 {
   Build(8, 4, 25, false);
   StartWave();
@@ -192,16 +192,16 @@
       Apply(command);
     }
   }
-  LONGS_EQUAL(2, Out());
+  LONGS_EQUAL(2, OutByWaves());
 }
 
 TEST(WavePlanner, Cancelled_InstancesNotReleased_GoBackIntoService)
 {
   Build(8, 4, 25, false);
-  m_empty = false;
+  m_isEmpty = false;
   StartWave();
   Step();
   Do(SetWaveState{ WaveId{ "v" }, WaveState::kCancelled },
-     TheWave().m_change.m_revision.Get());
-  LONGS_EQUAL(0, Out());
+     CurrentWave().m_change.m_revision.Get());
+  LONGS_EQUAL(0, OutByWaves());
 }
