--- a/src/placement/maintenance.cpp
+++ b/src/placement/maintenance.cpp
@@ -176,7 +176,7 @@
 }
 
 // A report proves that the instance is back only if it comes later than
-// `m_lateReports` after the instance went down: before that it may have been
+// `m_maxReportDelay` after the instance went down: before that it may have been
 // sent earlier and delayed. Such a report still makes reading the platform's
 // list worthwhile, which is the only evidence for instances that are off.
 void
