--- a/include/bamboostile/fleet/commands.h
+++ b/include/bamboostile/fleet/commands.h
@@ -10,7 +10,7 @@
 
 namespace bamboostile::fleet {
 
-// ------------------------------------------------------ calls of operators
+// Operator calls: changes that an operator requests.
 
 struct PutPool
 {
@@ -52,7 +52,7 @@
   bool m_cordoned = true;
 };
 
-/** Forgets an instance that is lost or leaving. */
+/** Removes an instance that is lost or leaving. */
 struct RemoveInstance
 {
   InstanceId m_instance;
@@ -87,19 +87,19 @@
                           CreateWave,
                           SetWaveState>;
 
-/** One change asked for by an operator. */
+/** A change requested by an operator. */
 struct OperatorCall
 {
-  /** Sent again after a lost answer, the same id gets the first answer. */
+  /** Idempotency key: a call resent with the same id gets the first reply. */
   OperationId m_operation;
   std::string m_operator;
-  /** The revision of the object as the operator saw it; zero for one that
+  /** Revision of the object as last read by the operator; zero if the object
    * does not exist yet. */
   Index m_expected;
   Call m_call;
 };
 
-// --------------------------------------------- changes the system proposes
+// Changes that the system itself proposes.
 
 struct AnnounceInstances
 {
@@ -119,7 +119,7 @@
   WaveStep m_to = WaveStep::kWaiting;
 };
 
-/** The system itself brakes a wave, or finds that it is done. */
+/** Brakes a wave, or marks it as done. */
 struct CloseWave
 {
   WaveId m_wave;
@@ -127,18 +127,18 @@
   std::string m_reason;
 };
 
-/** Takes effect only where its version is higher than the one in force. */
+/** Ignored unless its version is higher than that of the current table. */
 struct ReplaceRoutes
 {
   RouteTable m_table;
 };
 
-/** The group has been as large as it was meant to be. */
+/** Records that the replica group has reached its intended size once. */
 struct MarkFormed
 {};
 
-/** Orders for instances go on record before the platform is asked, and off it
- * once they are too old to matter to a later leader. */
+/** Records orders for instances before they are sent to the platform, and
+ * removes them once they are too old to matter to a later leader. */
 struct RecordOrders
 {
   std::vector<InstanceId> m_ordered;
@@ -160,7 +160,7 @@
                              MarkFormed,
                              RecordOrders>;
 
-// ------------------------------------------------------------------ answers
+// Replies to operator calls.
 
 enum class Refusal
 {
@@ -176,11 +176,11 @@
 struct CallReply
 {
   Refusal m_refusal = Refusal::kNone;
-  /** The object's revision now. */
+  /** Current revision of the object. */
   Index m_revision;
-  /** What was wrong, naming the field. */
+  /** Why the call was refused; names the field. */
   std::string m_message;
-  /** After a lost race: the call that won it. */
+  /** After a conflict: the operation that made the current revision. */
   OperationId m_winner;
   std::string m_winnerOperator;
 };
--- a/include/bamboostile/fleet/maintenance.h
+++ b/include/bamboostile/fleet/maintenance.h
@@ -9,22 +9,23 @@
 enum class MaintenanceStep
 {
   kWaiting,
-  /** The platform was or will be asked; the instance may be down. */
+  /** The order has been or is about to be sent to the platform; the instance
+   * may be down. */
   kOrdered,
-  /** The platform has taken the order. */
+  /** The platform has accepted the order. */
   kDown,
   kDone,
-  /** The platform does not know the instance or the wave for it. */
+  /** The platform does not know the instance, or the wave for it. */
   kSkipped,
 };
 
 const char* Describe(MaintenanceStep aStep) noexcept;
 
-/** Instances that are each due for one maintenance. */
+/** A set of instances that each undergo maintenance once. */
 struct MaintenanceWave
 {
   std::uint64_t m_number = 0;
-  /** Instances that may be down for this wave at once. */
+  /** Maximum number of instances that this wave may take down at once. */
   std::uint32_t m_cap = 1;
   WallTime m_startedAt;
   Millis m_within{};
--- a/include/bamboostile/fleet/model.h
+++ b/include/bamboostile/fleet/model.h
@@ -11,8 +11,8 @@
 
 namespace bamboostile::fleet {
 
-/** Who made the last change of an object; named to the operator who lost a
- * race against it. */
+/** The last change of an object and who made it; reported to an operator whose
+ * call conflicts with it. */
 struct Change
 {
   Index m_revision;
@@ -20,12 +20,12 @@
   std::string m_operator;
 };
 
-/** A set of instances that serve one service from one home. */
+/** A set of instances that serve one service from one location. */
 struct Pool
 {
   PoolId m_id;
   ServiceId m_service;
-  /** Free text that names the home, such as the provider. */
+  /** Location as free text, such as the name of the provider. */
   std::string m_home;
   /** A draining pool gets no new work. */
   bool m_draining = false;
@@ -35,17 +35,17 @@
 struct Service
 {
   ServiceId m_id;
-  /** Instances that may be out at once, in percent of the service's pools,
-   * for whatever reason. */
+  /** Maximum share of instances that may be unavailable at once for any reason,
+   * in percent of the service's pools. */
   std::uint32_t m_maxUnavailablePercent = 20;
-  /** A wave leaves room for the largest rack to fail as well. */
+  /** Waves leave enough capacity for the largest rack to fail as well. */
   bool m_surviveRack = false;
   std::uint32_t m_defaultTimeoutMs = 5000;
-  /** Retries allowed in percent of first attempts. */
+  /** Maximum number of retries, in percent of first attempts. */
   std::uint32_t m_retryBudgetPercent = 10;
-  /** Requests that may wait at one entry. */
+  /** Maximum number of requests queued at one entry. */
   std::uint32_t m_queueLimit = 256;
-  /** POST and PATCH may be run twice without harm. */
+  /** POST and PATCH are idempotent: they may safely run twice. */
   bool m_postIsIdempotent = false;
   Change m_change;
 };
@@ -56,7 +56,7 @@
   kLeaving,
 };
 
-/** What an upstream says about itself. */
+/** An upstream's report of its identity, location, capacity and state. */
 struct Announcement
 {
   InstanceId m_id;
@@ -79,35 +79,36 @@
 struct Instance
 {
   Announcement m_announced;
-  /** Unset while no pool takes it; it then gets no work. */
+  /** Unset while no pool accepts the instance; it gets no work then. */
   std::optional<PoolId> m_pool;
   /** Taken out of service by an operator. */
   bool m_cordoned = false;
-  /** Taken out of service by this wave. */
+  /** The wave that has taken the instance out of service. */
   std::optional<WaveId> m_wave;
-  /** Its announcements stopped. */
+  /** The instance has stopped sending announcements. */
   bool m_lost = false;
   Change m_change;
-  /** Larger than m_change's where an announcement was the last change. */
+  /** Position of the last change; larger than m_change.m_revision if that was
+   * an announcement. */
   Index m_modified;
 };
 
-/** Settings in force at every entry; one revision for all of them. */
+/** Settings of all entries; they share one revision. */
 struct Config
 {
-  /** Requests at one entry over all services. */
+  /** Maximum number of requests at one entry, over all services. */
   std::uint32_t m_maxRequests = 4096;
-  /** Upstreams that may be set aside for errors, in percent of a service. */
+  /** Maximum share of upstreams ejected for errors, in percent of a service. */
   std::uint32_t m_ejectionCeilingPercent = 30;
-  /** Below this share of usable upstreams ejection is ignored. */
+  /** Ejections are ignored below this percentage of usable upstreams. */
   std::uint32_t m_panicPercent = 50;
   /** Prefer upstreams of the entry's own zone. */
   bool m_sameZoneFirst = true;
-  /** How long a recorded outcome can be fetched. */
+  /** How long a recorded outcome stays available. */
   std::uint32_t m_outcomeKeepSeconds = 900;
-  /** Answers up to this size are kept for callers that lost theirs. */
+  /** Answers up to this size are kept for callers that did not receive them. */
   std::uint32_t m_keptAnswerBytes = 65536;
-  /** Free text for the operators' own bookkeeping. */
+  /** Free text for operators; the system does not use it. */
   std::string m_note;
   Change m_change;
 };
@@ -134,7 +135,8 @@
 struct WaveInstance
 {
   WaveStep m_step = WaveStep::kWaiting;
-  /** The life that was released; a later one shows that it was rebooted. */
+  /** The incarnation that was released; a later one shows that the instance was
+   * rebooted. */
   Incarnation m_releasedIncarnation;
 };
 
--- a/include/bamboostile/fleet/routes.h
+++ b/include/bamboostile/fleet/routes.h
@@ -11,7 +11,8 @@
 
 namespace bamboostile::fleet {
 
-/** What a call for advice on a queue's steps costs, and how long it holds. */
+/** Cost of a request for advice on a queue's steps, and how long the advice is
+ * valid. */
 struct AdvicePolicy
 {
   Millis m_decision{};
@@ -19,49 +20,51 @@
   Millis m_valid{};
 };
 
-/** A queue of jobs: where callers reach it, and who runs its tasks. */
+/** A queue of jobs: the host and path at which callers reach it, and the
+ * service that runs its tasks. */
 struct QueueRoute
 {
   std::string m_name;
   std::string m_host;
   std::string m_pathPrefix;
   ServiceId m_service;
-  /** For one call of a caller. */
+  /** Timeout of one call to the queue. */
   Millis m_timeout{};
-  /** Added to a job's stretched chain of work, this is when it should be
-   * completed. */
+  /** A job is due after its longest chain of steps times m_stretch, plus this
+   * time. */
   Millis m_objective{};
   double m_stretch = 1;
-  /** 0 comes first. */
+  /** 0 is the highest priority. */
   std::uint32_t m_priority = 0;
-  /** Failures of one task after which its job has failed. */
+  /** Number of failures of one task after which its job fails. */
   std::uint32_t m_maxAttempts = 1;
   std::optional<AdvicePolicy> m_advice;
 
-  /** Stays the same when the route's settings change. */
+  /** Independent of the route's other settings, so it is stable when they
+   * change. */
   QueueId Queue() const { return QueueId{ m_host + m_pathPrefix }; }
 };
 
-/** The pool of instances of a service, as far as placing needs to know. */
+/** Properties of a service's pool that placement uses. */
 struct ServicePolicy
 {
   ServiceId m_id;
-  /** Workers refuse what does not fit. */
+  /** Workers refuse tasks that exceed their capacity. */
   bool m_enforcesCapacity = true;
-  /** Its instances are off, and free to be moved where they are needed. */
+  /** Its instances are powered off and may be moved to other pools. */
   bool m_standby = false;
 };
 
-/** Routes and services in force; replaced as a whole, by version. */
+/** Routes and services; replaced as a whole by a table of a higher version. */
 struct RouteTable
 {
   std::uint64_t m_version = 0;
   std::vector<QueueRoute> m_routes;
   std::vector<ServicePolicy> m_services;
-  /** As the operator sent it, for reading it back. */
+  /** The table as the operator sent it, returned when it is read. */
   std::string m_document;
 
-  /** The pool whose instances are off; null where there is none. */
+  /** The pool whose instances are powered off; null if there is none. */
   const ServiceId* StandbyPool() const;
 };
 
@@ -77,7 +80,7 @@
 
 const char* Describe(RouteProblem aProblem) noexcept;
 
-/** What makes a table invalid, and which route or service shows it. */
+/** Why a table is invalid, and the route or service that makes it so. */
 struct RouteFinding
 {
   RouteProblem m_problem = RouteProblem::kNone;
@@ -89,8 +92,8 @@
 /**
  * @brief Finds a route by host and longest path prefix.
  *
- * A lookup costs one hash for each distinct prefix length of the host, not one
- * comparison for each route.
+ * A lookup takes one hash per distinct prefix length of the host, rather than
+ * one comparison per route.
  */
 class RouteIndex
 {
@@ -98,15 +101,15 @@
   RouteIndex() = default;
   explicit RouteIndex(const RouteTable& aTable);
 
-  /** Positions in the table's list of routes. */
+  /** Returns a position in the table's list of routes. */
   std::optional<std::size_t> Find(const std::string& aHost,
                                   std::string_view aPath) const;
   std::optional<std::size_t> Find(const QueueId& aQueue) const;
 
 private:
-  std::unordered_map<std::string, std::size_t> m_byPlace;
-  /** Longest first. */
-  std::unordered_map<std::string, std::vector<std::size_t>> m_lengths;
+  std::unordered_map<std::string, std::size_t> m_byHostAndPrefix;
+  /** Distinct prefix lengths of each host, longest first. */
+  std::unordered_map<std::string, std::vector<std::size_t>> m_prefixLengths;
 };
 
 } // namespace bamboostile::fleet
--- a/include/bamboostile/fleet/state.h
+++ b/include/bamboostile/fleet/state.h
@@ -9,19 +9,20 @@
 
 namespace bamboostile::fleet {
 
-/** An object that entries no longer need to know. */
+/** The removal of an object that entries knew. */
 struct Removal
 {
   Index m_revision;
   std::variant<PoolId, ServiceId, InstanceId> m_object;
 };
 
-/** What an entry needs to route: all of it, or what changed since then. */
+/** State that an entry needs for routing: all of it, or the changes since a
+ * revision. */
 struct View
 {
-  /** Position up to which this view is complete. */
+  /** Log position up to which this view is complete. */
   Index m_revision;
-  /** The receiver drops what it had before. */
+  /** The view has the whole state and replaces the receiver's earlier one. */
   bool m_full = false;
   std::vector<Pool> m_pools;
   std::vector<Service> m_services;
@@ -30,7 +31,7 @@
   std::vector<Removal> m_removals;
 };
 
-/** What applying one command brought; each command kind sets its own part. */
+/** Result of applying one command; the alternative depends on its kind. */
 using Effect = std::
   variant<std::monostate, CallReply, outcome::BeginReply, jobs::BatchReply>;
 
@@ -39,7 +40,7 @@
  * waves, and the outcomes of requests.
  *
  * A deterministic state machine over the log. Replicas that applied the same
- * commands are equal, whatever their clocks.
+ * commands are equal, regardless of their clocks.
  */
 class State
 {
@@ -47,7 +48,7 @@
   Effect Apply(Index aIndex, const Command& aCommand);
 
   Index Applied() const { return m_applied; }
-  /** Position of the last change that entries need to know. */
+  /** Log position of the last change that entries need. */
   Index ViewRevision() const { return m_viewRevision; }
   View ViewSince(Index aRevision) const;
 
@@ -68,34 +69,34 @@
   {
     return m_maintenance;
   }
-  /** Instances that the platform may have been asked to move or maintain
-   * within the last seconds. */
+  /** Instances for which an order to move or maintain them may have been sent
+   * to the platform within the last seconds. */
   const std::set<InstanceId>& RecentOrders() const { return m_recentOrders; }
 
-  /** The first answer to an operation, while it is remembered. */
+  /** Returns the first reply to an operation, or null if none is kept. */
   const CallReply* FindReply(const OperationId& aOperation) const;
 
   std::string Encode() const;
-  /** Throws nothing; an empty result means that the bytes are damaged. */
+  /** Returns nullopt if the bytes are damaged; does not throw. */
   static std::optional<State> Decode(const std::string& aBytes);
 
 private:
   friend struct StateCodec;
 
   CallReply Execute(Index aIndex, const OperatorCall& aCall);
-  void Remember(const OperationId& aOperation, const CallReply& aReply);
-
-  CallReply On(const PutPool&, const OperatorCall&, Index);
-  CallReply On(const RemovePool&, const OperatorCall&, Index);
-  CallReply On(const DrainPool&, const OperatorCall&, Index);
-  CallReply On(const PutService&, const OperatorCall&, Index);
-  CallReply On(const RemoveService&, const OperatorCall&, Index);
-  CallReply On(const MoveInstance&, const OperatorCall&, Index);
-  CallReply On(const CordonInstance&, const OperatorCall&, Index);
-  CallReply On(const RemoveInstance&, const OperatorCall&, Index);
-  CallReply On(const SetConfig&, const OperatorCall&, Index);
-  CallReply On(const CreateWave&, const OperatorCall&, Index);
-  CallReply On(const SetWaveState&, const OperatorCall&, Index);
+  void StoreReply(const OperationId& aOperation, const CallReply& aReply);
+
+  CallReply Handle(const PutPool&, const OperatorCall&, Index);
+  CallReply Handle(const RemovePool&, const OperatorCall&, Index);
+  CallReply Handle(const DrainPool&, const OperatorCall&, Index);
+  CallReply Handle(const PutService&, const OperatorCall&, Index);
+  CallReply Handle(const RemoveService&, const OperatorCall&, Index);
+  CallReply Handle(const MoveInstance&, const OperatorCall&, Index);
+  CallReply Handle(const CordonInstance&, const OperatorCall&, Index);
+  CallReply Handle(const RemoveInstance&, const OperatorCall&, Index);
+  CallReply Handle(const SetConfig&, const OperatorCall&, Index);
+  CallReply Handle(const CreateWave&, const OperatorCall&, Index);
+  CallReply Handle(const SetWaveState&, const OperatorCall&, Index);
 
   void Apply(Index aIndex, const Announcement& aAnnouncement);
   void Apply(Index aIndex, const LoseInstances& aLoss);
@@ -108,14 +109,14 @@
   void Apply(Index aIndex, const RecordOrders& aRecord);
   jobs::BatchReply ApplyJobs(const jobs::Batch& aBatch);
   void ReleaseFromWave(Index aIndex, const Wave& aWave);
-  std::optional<PoolId> PoolFor(const Announcement& aAnnouncement) const;
-  void Modified(Index aIndex) { m_viewRevision = aIndex; }
-  void Removed(Index aIndex,
-               std::variant<PoolId, ServiceId, InstanceId> aObject);
+  std::optional<PoolId> FindPoolFor(const Announcement& aAnnouncement) const;
+  void AdvanceViewRevision(Index aIndex) { m_viewRevision = aIndex; }
+  void RecordRemoval(Index aIndex,
+                     std::variant<PoolId, ServiceId, InstanceId> aObject);
 
   Index m_applied;
   Index m_viewRevision;
-  /** Removals at or before this position are forgotten; an entry that is
+  /** Removals at or before this position have been discarded; an entry that is
    * further behind gets a full view. */
   Index m_removalHorizon;
   std::map<PoolId, Pool> m_pools;
--- a/src/fleet/codec.cpp
+++ b/src/fleet/codec.cpp
@@ -1,9 +1,9 @@
 #include "bamboostile/fleet/state.h"
 #include "bamboostile/units/json.h"
 
-// One line a type: the member names are the stored names, so renaming a
-// member changes the format of logs and snapshots. New members take their
-// default where data of an older build lacks them.
+// Each type is stored under the names of its members, so renaming a member
+// changes the format of logs and snapshots. Members that are missing in data
+// of an older build keep their default.
 
 namespace bamboostile::outcome {
 
@@ -42,8 +42,8 @@
 
 namespace bamboostile::jobs {
 
-// Batches are most of the log, so they are packed Cap'n Proto inside: a
-// fraction of what named fields would take.
+// Batches make up most of the log, so they are stored as packed Cap'n Proto,
+// which takes a fraction of the size of named fields.
 static void
 to_json(nlohmann::json& aJson, const Batch& aBatch)
 {
@@ -58,7 +58,7 @@
   auto batch = DecodeBatch({ bytes.begin(), bytes.end() });
   if (!batch) {
     throw nlohmann::json::other_error::create(
-      502, "a batch of changes of jobs is damaged", &aJson);
+      502, "a batch of job changes is damaged", &aJson);
   }
   aBatch = std::move(*batch);
 }
@@ -241,7 +241,7 @@
 
 } // namespace
 
-/** Reaches the private parts of State for its snapshot. */
+/** Converts a State, including its private members, to and from a snapshot. */
 struct StateCodec
 {
   static Json Binary(const std::string& aBytes)
@@ -249,7 +249,7 @@
     return Json::binary({ aBytes.begin(), aBytes.end() });
   }
 
-  /** Absent in snapshots of builds that had no jobs. */
+  /** Reads the fields that snapshots of builds without jobs do not have. */
   static void ReadJobs(const Json& aJson, State& aState)
   {
     aState.m_isFormed = aJson.value("isFormed", false);
@@ -258,12 +258,12 @@
     aJson.at("maintenance").get_to(aState.m_maintenance);
     aState.m_recentOrders = aJson.value("recentOrders", std::set<InstanceId>{});
     const auto& bytes = aJson.at("jobs").get_binary();
-    auto book = jobs::DecodeBook({ bytes.begin(), bytes.end() });
-    if (!book) {
+    auto table = jobs::DecodeBook({ bytes.begin(), bytes.end() });
+    if (!table) {
       throw Json::other_error::create(
-        503, "the jobs of a snapshot are damaged", &aJson);
+        503, "the job table of a snapshot is damaged", &aJson);
     }
-    aState.m_jobs = std::move(*book);
+    aState.m_jobs = std::move(*table);
   }
 
   static Json Write(const State& aState)
@@ -310,12 +310,12 @@
       ReadJobs(aJson, state);
     }
     for (const Json& reply : aJson.at("replies")) {
-      state.Remember(reply.at(0).get<OperationId>(),
-                     reply.at(1).get<CallReply>());
+      state.StoreReply(reply.at(0).get<OperationId>(),
+                       reply.at(1).get<CallReply>());
     }
-    for (const Json& one : aJson.at("outcomes")) {
-      state.m_outcomes.Restore(one.at(0).get<RequestId>(),
-                               one.at(1).get<outcome::Record>());
+    for (const Json& entry : aJson.at("outcomes")) {
+      state.m_outcomes.Restore(entry.at(0).get<RequestId>(),
+                               entry.at(1).get<outcome::Record>());
     }
     return state;
   }
--- a/src/fleet/routes.cpp
+++ b/src/fleet/routes.cpp
@@ -47,12 +47,12 @@
       return { RouteProblem::kDuplicateService, service.m_id.Get() };
     }
   }
-  std::unordered_set<std::string> places;
+  std::unordered_set<std::string> queues;
   for (const QueueRoute& route : aTable.m_routes) {
     if (!services.contains(route.m_service.Get())) {
       return { RouteProblem::kUnknownService, route.m_name };
     }
-    if (!places.insert(route.Queue().Get()).second) {
+    if (!queues.insert(route.Queue().Get()).second) {
       return { RouteProblem::kDuplicateRoute, route.m_name };
     }
     if (route.m_timeout <= Millis::zero()) {
@@ -66,10 +66,10 @@
 {
   for (std::size_t i = 0; i < aTable.m_routes.size(); ++i) {
     const QueueRoute& route = aTable.m_routes[i];
-    m_byPlace.emplace(route.Queue().Get(), i);
-    m_lengths[route.m_host].push_back(route.m_pathPrefix.size());
+    m_byHostAndPrefix.emplace(route.Queue().Get(), i);
+    m_prefixLengths[route.m_host].push_back(route.m_pathPrefix.size());
   }
-  for (auto& [host, lengths] : m_lengths) {
+  for (auto& [host, lengths] : m_prefixLengths) {
     std::sort(lengths.rbegin(), lengths.rend());
     lengths.erase(std::unique(lengths.begin(), lengths.end()), lengths.end());
   }
@@ -78,18 +78,18 @@
 std::optional<std::size_t>
 RouteIndex::Find(const std::string& aHost, std::string_view aPath) const
 {
-  const auto lengths = m_lengths.find(aHost);
-  if (lengths == m_lengths.end()) {
+  const auto lengths = m_prefixLengths.find(aHost);
+  if (lengths == m_prefixLengths.end()) {
     return std::nullopt;
   }
   for (const std::size_t length : lengths->second) {
     if (length > aPath.size()) {
       continue;
     }
-    std::string place = aHost;
-    place.append(aPath.substr(0, length));
-    const auto found = m_byPlace.find(place);
-    if (found != m_byPlace.end()) {
+    std::string hostAndPrefix = aHost;
+    hostAndPrefix.append(aPath.substr(0, length));
+    const auto found = m_byHostAndPrefix.find(hostAndPrefix);
+    if (found != m_byHostAndPrefix.end()) {
       return found->second;
     }
   }
@@ -99,9 +99,9 @@
 std::optional<std::size_t>
 RouteIndex::Find(const QueueId& aQueue) const
 {
-  const auto found = m_byPlace.find(aQueue.Get());
-  return found == m_byPlace.end() ? std::nullopt
-                                  : std::optional{ found->second };
+  const auto found = m_byHostAndPrefix.find(aQueue.Get());
+  return found == m_byHostAndPrefix.end() ? std::nullopt
+                                          : std::optional{ found->second };
 }
 
 } // namespace bamboostile::fleet
--- a/src/fleet/state.cpp
+++ b/src/fleet/state.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-/** Operations whose first answer is remembered. Enough for days of changes;
- * later repeats are stopped by their old revision. */
-constexpr std::size_t kRememberedReplies = 10'000;
-constexpr std::size_t kRememberedRemovals = 2'000;
+/** Number of operations whose first reply is kept: enough for days of changes.
+ * A call resent later is refused because its expected revision is outdated. */
+constexpr std::size_t kMaxKeptReplies = 10'000;
+constexpr std::size_t kMaxKeptRemovals = 2'000;
 constexpr std::uint32_t kMaxPercent = 100;
 
 CallReply
-Done(Index aRevision)
+Accept(Index aRevision)
 {
   CallReply reply;
   reply.m_revision = aRevision;
@@ -39,7 +39,7 @@
   return Change{ aIndex, aCall.m_operation, aCall.m_operator };
 }
 
-/** Compares the revision the operator saw with the present one. */
+/** Returns a conflict if the object has changed since the operator read it. */
 std::optional<CallReply>
 CheckRevision(const OperatorCall& aCall, const Change* aCurrent)
 {
@@ -82,7 +82,8 @@
                   " is not a percentage from 0 to 100");
 }
 
-/** Names under which entries answer themselves; see docs/INTERFACE.md. */
+/** Returns whether the id is a path that entries serve themselves; see
+ * docs/INTERFACE.md. */
 bool
 IsReserved(const ServiceId& aId)
 {
@@ -129,9 +130,9 @@
       [&](const OperatorCall& aCall) -> Effect {
         return Execute(aIndex, aCall);
       },
-      [&](const AnnounceInstances& aMany) -> Effect {
-        for (const Announcement& one : aMany.m_announcements) {
-          Apply(aIndex, one);
+      [&](const AnnounceInstances& aAnnounce) -> Effect {
+        for (const Announcement& announcement : aAnnounce.m_announcements) {
+          Apply(aIndex, announcement);
         }
         return {};
       },
@@ -147,8 +148,8 @@
         return {};
       },
       [&](const jobs::Batch& aBatch) -> Effect { return ApplyJobs(aBatch); },
-      [&](const auto& aOther) -> Effect {
-        Apply(aIndex, aOther);
+      [&](const auto& aChange) -> Effect {
+        Apply(aIndex, aChange);
         return {};
       },
     },
@@ -164,36 +165,37 @@
 CallReply
 State::Execute(Index aIndex, const OperatorCall& aCall)
 {
-  // Resent after a lost answer: the first answer again, also a refusal, so
-  // that the call takes effect once however often it arrives.
+  // A call that is resent after its reply was lost gets the first reply again,
+  // even if that was a refusal. Each call takes effect at most once.
   if (const CallReply* first = FindReply(aCall.m_operation)) {
     return *first;
   }
   CallReply reply = std::visit(
-    [&](const auto& aOne) { return On(aOne, aCall, aIndex); }, aCall.m_call);
-  Remember(aCall.m_operation, reply);
+    [&](const auto& aChange) { return Handle(aChange, aCall, aIndex); },
+    aCall.m_call);
+  StoreReply(aCall.m_operation, reply);
   return reply;
 }
 
 void
-State::Remember(const OperationId& aOperation, const CallReply& aReply)
+State::StoreReply(const OperationId& aOperation, const CallReply& aReply)
 {
   m_replies[aOperation] = aReply;
   m_replyOrder.push_back(aOperation);
-  while (m_replyOrder.size() > kRememberedReplies) {
+  while (m_replyOrder.size() > kMaxKeptReplies) {
     m_replies.erase(m_replyOrder.front());
     m_replyOrder.pop_front();
   }
 }
 
-// -------------------------------------------------------- calls of operators
+// Operator calls.
 
 CallReply
-State::On(const PutPool& aPut, const OperatorCall& aCall, Index aIndex)
+State::Handle(const PutPool& aPut, const OperatorCall& aCall, Index aIndex)
 {
   Pool* pool = FindIn(m_pools, aPut.m_pool);
-  if (auto lost = CheckRevision(aCall, pool ? &pool->m_change : nullptr)) {
-    return *lost;
+  if (auto conflict = CheckRevision(aCall, pool ? &pool->m_change : nullptr)) {
+    return *conflict;
   }
   if (!m_services.contains(aPut.m_service)) {
     return Refuse(Refusal::kInvalid,
@@ -208,62 +210,64 @@
   changed.m_service = aPut.m_service;
   changed.m_home = aPut.m_home;
   changed.m_change = ChangeOf(aCall, aIndex);
-  Modified(aIndex);
+  AdvanceViewRevision(aIndex);
   for (auto& [id, instance] : m_instances) {
     if (!instance.m_pool) {
-      instance.m_pool = PoolFor(instance.m_announced);
+      instance.m_pool = FindPoolFor(instance.m_announced);
       instance.m_modified = aIndex;
     }
   }
-  return Done(aIndex);
+  return Accept(aIndex);
 }
 
 CallReply
-State::On(const RemovePool& aRemove, const OperatorCall& aCall, Index aIndex)
+State::Handle(const RemovePool& aRemove,
+              const OperatorCall& aCall,
+              Index aIndex)
 {
   const Pool* pool = FindIn(m_pools, aRemove.m_pool);
-  if (auto lost = CheckRevision(aCall, pool ? &pool->m_change : nullptr)) {
-    return *lost;
+  if (auto conflict = CheckRevision(aCall, pool ? &pool->m_change : nullptr)) {
+    return *conflict;
   }
   if (pool == nullptr) {
     return NotFound("pool", aRemove.m_pool.Get());
   }
-  const auto user =
-    std::find_if(m_instances.begin(), m_instances.end(), [&](const auto& aOne) {
-      return aOne.second.m_pool == aRemove.m_pool;
+  const auto user = std::find_if(
+    m_instances.begin(), m_instances.end(), [&](const auto& aEntry) {
+      return aEntry.second.m_pool == aRemove.m_pool;
     });
   if (user != m_instances.end()) {
     return Refuse(Refusal::kInUse,
                   "pool: instance '" + user->first.Get() + "' is still in it");
   }
   m_pools.erase(aRemove.m_pool);
-  Removed(aIndex, aRemove.m_pool);
-  return Done(aIndex);
+  RecordRemoval(aIndex, aRemove.m_pool);
+  return Accept(aIndex);
 }
 
 CallReply
-State::On(const DrainPool& aDrain, const OperatorCall& aCall, Index aIndex)
+State::Handle(const DrainPool& aDrain, const OperatorCall& aCall, Index aIndex)
 {
   Pool* pool = FindIn(m_pools, aDrain.m_pool);
-  if (auto lost = CheckRevision(aCall, pool ? &pool->m_change : nullptr)) {
-    return *lost;
+  if (auto conflict = CheckRevision(aCall, pool ? &pool->m_change : nullptr)) {
+    return *conflict;
   }
   if (pool == nullptr) {
     return NotFound("pool", aDrain.m_pool.Get());
   }
   pool->m_draining = aDrain.m_draining;
   pool->m_change = ChangeOf(aCall, aIndex);
-  Modified(aIndex);
-  return Done(aIndex);
+  AdvanceViewRevision(aIndex);
+  return Accept(aIndex);
 }
 
 CallReply
-State::On(const PutService& aPut, const OperatorCall& aCall, Index aIndex)
+State::Handle(const PutService& aPut, const OperatorCall& aCall, Index aIndex)
 {
   const Service* service = FindIn(m_services, aPut.m_service.m_id);
   const Change* current = service != nullptr ? &service->m_change : nullptr;
-  if (auto lost = CheckRevision(aCall, current)) {
-    return *lost;
+  if (auto conflict = CheckRevision(aCall, current)) {
+    return *conflict;
   }
   if (IsReserved(aPut.m_service.m_id)) {
     return Refuse(Refusal::kInvalid,
@@ -284,41 +288,45 @@
   Service& changed = m_services[aPut.m_service.m_id];
   changed = aPut.m_service;
   changed.m_change = ChangeOf(aCall, aIndex);
-  Modified(aIndex);
-  return Done(aIndex);
+  AdvanceViewRevision(aIndex);
+  return Accept(aIndex);
 }
 
 CallReply
-State::On(const RemoveService& aRemove, const OperatorCall& aCall, Index aIndex)
+State::Handle(const RemoveService& aRemove,
+              const OperatorCall& aCall,
+              Index aIndex)
 {
   const Service* service = FindIn(m_services, aRemove.m_service);
   const Change* current = service != nullptr ? &service->m_change : nullptr;
-  if (auto lost = CheckRevision(aCall, current)) {
-    return *lost;
+  if (auto conflict = CheckRevision(aCall, current)) {
+    return *conflict;
   }
   if (service == nullptr) {
     return NotFound("service", aRemove.m_service.Get());
   }
   const auto user =
-    std::find_if(m_pools.begin(), m_pools.end(), [&](const auto& aOne) {
-      return aOne.second.m_service == aRemove.m_service;
+    std::find_if(m_pools.begin(), m_pools.end(), [&](const auto& aEntry) {
+      return aEntry.second.m_service == aRemove.m_service;
     });
   if (user != m_pools.end()) {
     return Refuse(Refusal::kInUse,
                   "service: pool '" + user->first.Get() + "' still serves it");
   }
   m_services.erase(aRemove.m_service);
-  Removed(aIndex, aRemove.m_service);
-  return Done(aIndex);
+  RecordRemoval(aIndex, aRemove.m_service);
+  return Accept(aIndex);
 }
 
 CallReply
-State::On(const MoveInstance& aMove, const OperatorCall& aCall, Index aIndex)
+State::Handle(const MoveInstance& aMove,
+              const OperatorCall& aCall,
+              Index aIndex)
 {
   Instance* instance = FindIn(m_instances, aMove.m_instance);
   const Change* current = instance != nullptr ? &instance->m_change : nullptr;
-  if (auto lost = CheckRevision(aCall, current)) {
-    return *lost;
+  if (auto conflict = CheckRevision(aCall, current)) {
+    return *conflict;
   }
   if (instance == nullptr) {
     return NotFound("instance", aMove.m_instance.Get());
@@ -341,19 +349,19 @@
   instance->m_pool = aMove.m_pool;
   instance->m_change = ChangeOf(aCall, aIndex);
   instance->m_modified = aIndex;
-  Modified(aIndex);
-  return Done(aIndex);
+  AdvanceViewRevision(aIndex);
+  return Accept(aIndex);
 }
 
 CallReply
-State::On(const CordonInstance& aCordon,
-          const OperatorCall& aCall,
-          Index aIndex)
+State::Handle(const CordonInstance& aCordon,
+              const OperatorCall& aCall,
+              Index aIndex)
 {
   Instance* instance = FindIn(m_instances, aCordon.m_instance);
   const Change* current = instance != nullptr ? &instance->m_change : nullptr;
-  if (auto lost = CheckRevision(aCall, current)) {
-    return *lost;
+  if (auto conflict = CheckRevision(aCall, current)) {
+    return *conflict;
   }
   if (instance == nullptr) {
     return NotFound("instance", aCordon.m_instance.Get());
@@ -361,69 +369,72 @@
   instance->m_cordoned = aCordon.m_cordoned;
   instance->m_change = ChangeOf(aCall, aIndex);
   instance->m_modified = aIndex;
-  Modified(aIndex);
-  return Done(aIndex);
+  AdvanceViewRevision(aIndex);
+  return Accept(aIndex);
 }
 
 CallReply
-State::On(const RemoveInstance& aRemove,
-          const OperatorCall& aCall,
-          Index aIndex)
+State::Handle(const RemoveInstance& aRemove,
+              const OperatorCall& aCall,
+              Index aIndex)
 {
   const Instance* instance = FindIn(m_instances, aRemove.m_instance);
   const Change* current = instance != nullptr ? &instance->m_change : nullptr;
-  if (auto lost = CheckRevision(aCall, current)) {
-    return *lost;
+  if (auto conflict = CheckRevision(aCall, current)) {
+    return *conflict;
   }
   if (instance == nullptr) {
     return NotFound("instance", aRemove.m_instance.Get());
   }
-  const bool gone = instance->m_lost ||
-                    instance->m_announced.m_state == InstanceState::kLeaving;
-  if (!gone || instance->m_wave) {
+  const bool isRemovable = instance->m_lost || instance->m_announced.m_state ==
+                                                 InstanceState::kLeaving;
+  if (!isRemovable || instance->m_wave) {
     return Refuse(Refusal::kInUse,
                   "instance: it is neither lost nor leaving, or a wave works "
                   "on it");
   }
   m_instances.erase(aRemove.m_instance);
-  Removed(aIndex, aRemove.m_instance);
-  return Done(aIndex);
+  RecordRemoval(aIndex, aRemove.m_instance);
+  return Accept(aIndex);
 }
 
 CallReply
-State::On(const SetConfig& aSet, const OperatorCall& aCall, Index aIndex)
+State::Handle(const SetConfig& aSet, const OperatorCall& aCall, Index aIndex)
 {
-  const bool fresh = m_config.m_change.m_revision == Index{};
-  if (auto lost = CheckRevision(aCall, fresh ? nullptr : &m_config.m_change)) {
-    return *lost;
+  const bool isInitial = m_config.m_change.m_revision == Index{};
+  if (auto conflict =
+        CheckRevision(aCall, isInitial ? nullptr : &m_config.m_change)) {
+    return *conflict;
   }
-  const Config& wanted = aSet.m_config;
-  if (wanted.m_ejectionCeilingPercent > kMaxPercent) {
+  const Config& desired = aSet.m_config;
+  if (desired.m_ejectionCeilingPercent > kMaxPercent) {
     return PercentInvalid("ejectionCeilingPercent",
-                          wanted.m_ejectionCeilingPercent);
+                          desired.m_ejectionCeilingPercent);
   }
-  if (wanted.m_panicPercent > kMaxPercent) {
-    return PercentInvalid("panicPercent", wanted.m_panicPercent);
+  if (desired.m_panicPercent > kMaxPercent) {
+    return PercentInvalid("panicPercent", desired.m_panicPercent);
   }
-  if (wanted.m_maxRequests == 0) {
+  if (desired.m_maxRequests == 0) {
     return Refuse(Refusal::kInvalid, "maxRequests: 0 is not above 0");
   }
-  if (wanted.m_outcomeKeepSeconds == 0) {
+  if (desired.m_outcomeKeepSeconds == 0) {
     return Refuse(Refusal::kInvalid, "outcomeKeepSeconds: 0 is not above 0");
   }
-  m_config = wanted;
+  m_config = desired;
   m_config.m_change = ChangeOf(aCall, aIndex);
-  Modified(aIndex);
-  return Done(aIndex);
+  AdvanceViewRevision(aIndex);
+  return Accept(aIndex);
 }
 
 CallReply
-State::On(const CreateWave& aCreate, const OperatorCall& aCall, Index aIndex)
+State::Handle(const CreateWave& aCreate,
+              const OperatorCall& aCall,
+              Index aIndex)
 {
   const Wave* existing = FindIn(m_waves, aCreate.m_wave);
   const Change* current = existing != nullptr ? &existing->m_change : nullptr;
-  if (auto lost = CheckRevision(aCall, current)) {
-    return *lost;
+  if (auto conflict = CheckRevision(aCall, current)) {
+    return *conflict;
   }
   if (existing != nullptr) {
     return Refuse(Refusal::kInUse, "wave: the name is taken");
@@ -447,15 +458,15 @@
     }
   }
   m_waves[aCreate.m_wave] = std::move(wave);
-  return Done(aIndex);
+  return Accept(aIndex);
 }
 
 CallReply
-State::On(const SetWaveState& aSet, const OperatorCall& aCall, Index aIndex)
+State::Handle(const SetWaveState& aSet, const OperatorCall& aCall, Index aIndex)
 {
   Wave* wave = FindIn(m_waves, aSet.m_wave);
-  if (auto lost = CheckRevision(aCall, wave ? &wave->m_change : nullptr)) {
-    return *lost;
+  if (auto conflict = CheckRevision(aCall, wave ? &wave->m_change : nullptr)) {
+    return *conflict;
   }
   if (wave == nullptr) {
     return NotFound("wave", aSet.m_wave.Get());
@@ -476,18 +487,18 @@
   if (aSet.m_state == WaveState::kCancelled) {
     ReleaseFromWave(aIndex, *wave);
   }
-  return Done(aIndex);
+  return Accept(aIndex);
 }
 
-// -------------------------------------------------- changes by the system
+// Changes that the system itself proposes.
 
 std::optional<PoolId>
-State::PoolFor(const Announcement& aAnnouncement) const
+State::FindPoolFor(const Announcement& aAnnouncement) const
 {
   if (aAnnouncement.m_pool) {
-    const Pool* named = FindIn(m_pools, *aAnnouncement.m_pool);
+    const Pool* requested = FindIn(m_pools, *aAnnouncement.m_pool);
     const bool fits =
-      named != nullptr && named->m_service == aAnnouncement.m_service;
+      requested != nullptr && requested->m_service == aAnnouncement.m_service;
     return fits ? aAnnouncement.m_pool : std::nullopt;
   }
   for (const auto& [id, pool] : m_pools) {
@@ -503,29 +514,32 @@
 {
   const auto [found, isNew] = m_instances.try_emplace(aAnnouncement.m_id);
   Instance& instance = found->second;
-  const Announcement& held = instance.m_announced;
+  const Announcement& known = instance.m_announced;
   if (!isNew) {
-    // Reordered or repeated announcements, and those of an earlier life,
-    // would otherwise bring back an address or state that is gone.
-    const bool sameLife = aAnnouncement.m_incarnation == held.m_incarnation;
-    const bool older = aAnnouncement.m_incarnation < held.m_incarnation ||
-                       (sameLife && aAnnouncement.m_sequence < held.m_sequence);
-    const bool repeated = sameLife && !instance.m_lost &&
-                          aAnnouncement.m_sequence == held.m_sequence;
+    // Reordered or repeated announcements, and those of an earlier
+    // incarnation, would otherwise restore an outdated address or state.
+    const bool sameIncarnation =
+      aAnnouncement.m_incarnation == known.m_incarnation;
+    const bool older =
+      aAnnouncement.m_incarnation < known.m_incarnation ||
+      (sameIncarnation && aAnnouncement.m_sequence < known.m_sequence);
+    const bool repeated = sameIncarnation && !instance.m_lost &&
+                          aAnnouncement.m_sequence == known.m_sequence;
     if (older || repeated) {
       return;
     }
   }
   const bool keepsService =
-    !isNew && held.m_service == aAnnouncement.m_service && instance.m_pool;
+    !isNew && known.m_service == aAnnouncement.m_service && instance.m_pool;
   instance.m_announced = aAnnouncement;
   instance.m_lost = false;
   instance.m_modified = aIndex;
-  // Only operators move an instance; a repeated announcement does not.
+  // Only operators move an instance to another pool of its service; a later
+  // announcement does not.
   if (!keepsService) {
-    instance.m_pool = PoolFor(aAnnouncement);
+    instance.m_pool = FindPoolFor(aAnnouncement);
   }
-  Modified(aIndex);
+  AdvanceViewRevision(aIndex);
 }
 
 void
@@ -546,7 +560,8 @@
 void
 State::Apply(Index /*aIndex*/, const StartMaintenance& aStart)
 {
-  // The same order again, after a lost acknowledgement, changes nothing.
+  // A wave that is sent again after its acknowledgement was lost changes
+  // nothing.
   m_maintenance.try_emplace(aStart.m_wave.m_number, aStart.m_wave);
 }
 
@@ -580,7 +595,8 @@
 {
   return m_jobs.Apply(aBatch, [this](const QueueId& aQueue) {
     const auto route = m_routeIndex.Find(aQueue);
-    // The jobs of a queue that is gone run no more; nothing may fail them.
+    // Jobs of a queue that has been removed no longer run, so they must not
+    // fail either.
     return route ? m_routes.m_routes[*route].m_maxAttempts
                  : std::numeric_limits<std::uint32_t>::max();
   });
@@ -594,7 +610,7 @@
     if (instance != nullptr && !instance->m_lost) {
       instance->m_lost = true;
       instance->m_modified = aIndex;
-      Modified(aIndex);
+      AdvanceViewRevision(aIndex);
     }
   }
 }
@@ -608,21 +624,23 @@
     return;
   }
   WaveInstance* step = FindIn(wave->m_instances, aAdvance.m_instance);
-  // Two leaders in a row may both propose a step; only the one that starts
-  // from the recorded step counts, so none is taken twice or skipped.
+  // Two successive leaders may both propose a step. Only a proposal that
+  // starts from the recorded step is applied, so no step is applied twice or
+  // skipped.
   if (step == nullptr || step->m_step != aAdvance.m_from) {
     return;
   }
   step->m_step = aAdvance.m_to;
-  const bool isOut = aAdvance.m_to == WaveStep::kDraining ||
-                     aAdvance.m_to == WaveStep::kReleased ||
-                     aAdvance.m_to == WaveStep::kFailed;
-  instance->m_wave = isOut ? std::optional{ wave->m_id } : std::nullopt;
+  const bool isOutOfService = aAdvance.m_to == WaveStep::kDraining ||
+                              aAdvance.m_to == WaveStep::kReleased ||
+                              aAdvance.m_to == WaveStep::kFailed;
+  instance->m_wave =
+    isOutOfService ? std::optional{ wave->m_id } : std::nullopt;
   if (aAdvance.m_to == WaveStep::kReleased) {
     step->m_releasedIncarnation = instance->m_announced.m_incarnation;
   }
   instance->m_modified = aIndex;
-  Modified(aIndex);
+  AdvanceViewRevision(aIndex);
 }
 
 void
@@ -647,23 +665,23 @@
     if (instance != nullptr && instance->m_wave == aWave.m_id) {
       instance->m_wave.reset();
       instance->m_modified = aIndex;
-      Modified(aIndex);
+      AdvanceViewRevision(aIndex);
     }
   }
 }
 
-// -------------------------------------------------------- views of entries
+// Views for entries.
 
 void
-State::Removed(Index aIndex,
-               std::variant<PoolId, ServiceId, InstanceId> aObject)
+State::RecordRemoval(Index aIndex,
+                     std::variant<PoolId, ServiceId, InstanceId> aObject)
 {
   m_removals.push_back(Removal{ aIndex, std::move(aObject) });
-  while (m_removals.size() > kRememberedRemovals) {
+  while (m_removals.size() > kMaxKeptRemovals) {
     m_removalHorizon = m_removals.front().m_revision;
     m_removals.pop_front();
   }
-  Modified(aIndex);
+  AdvanceViewRevision(aIndex);
 }
 
 View
--- a/tests/unit/fleet/routes_test.cpp
+++ b/tests/unit/fleet/routes_test.cpp
@@ -27,7 +27,7 @@
     return route;
   }
 
-  std::string FoundAt(const std::string& aHost, const std::string& aPath)
+  std::string FindName(const std::string& aHost, const std::string& aPath)
   {
     const auto found = RouteIndex(m_table).Find(aHost, aPath);
     return found ? m_table.m_routes[*found].m_name : "";
@@ -38,13 +38,13 @@
 {
   Add("long", "host", "/p/q/");
   Add("other", "other", "/p/q/r/");
-  CHECK_STRING("long", FoundAt("host", "/p/q/r/id"));
-  CHECK_STRING("a", FoundAt("host", "/p/id"));
-  CHECK_STRING("", FoundAt("host", "/x"));
-  CHECK_STRING("", FoundAt("unknown", "/p/id"));
+  CHECK_STRING("long", FindName("host", "/p/q/r/id"));
+  CHECK_STRING("a", FindName("host", "/p/id"));
+  CHECK_STRING("", FindName("host", "/x"));
+  CHECK_STRING("", FindName("unknown", "/p/id"));
 }
 
-TEST(RouteTable, SoundTable_HasNoFinding)
+TEST(RouteTable, ValidTable_HasNoProblem)
 {
   CHECK(Check(m_table).m_problem == RouteProblem::kNone);
 }
--- a/tests/unit/fleet/state_test.cpp
+++ b/tests/unit/fleet/state_test.cpp
@@ -10,16 +10,18 @@
 namespace {
 
 Announcement
-Said(const char* aId, std::uint64_t aIncarnation, std::uint64_t aSequence)
+MakeAnnouncement(const char* aId,
+                 std::uint64_t aIncarnation,
+                 std::uint64_t aSequence)
 {
-  Announcement said;
-  said.m_id = InstanceId{ aId };
-  said.m_incarnation = Incarnation{ aIncarnation };
-  said.m_sequence = aSequence;
-  said.m_service = ServiceId{ "s" };
-  said.m_zone = ZoneId{ "z" };
-  said.m_rack = RackId{ "r" };
-  return said;
+  Announcement announcement;
+  announcement.m_id = InstanceId{ aId };
+  announcement.m_incarnation = Incarnation{ aIncarnation };
+  announcement.m_sequence = aSequence;
+  announcement.m_service = ServiceId{ "s" };
+  announcement.m_zone = ZoneId{ "z" };
+  announcement.m_rack = RackId{ "r" };
+  return announcement;
 }
 
 } // namespace
@@ -30,11 +32,12 @@
   {
     Service service;
     service.m_id = ServiceId{ "s" };
-    Do(PutService{ service }, 0);
-    Do(PutPool{ PoolId{ "p" }, ServiceId{ "s" }, "home" }, 0);
+    Execute(PutService{ service }, 0);
+    Execute(PutPool{ PoolId{ "p" }, ServiceId{ "s" }, "home" }, 0);
   }
 
-  CallReply Do(Call aCall, std::uint64_t aExpected, const char* aId = nullptr)
+  CallReply Execute(
+    Call aCall, std::uint64_t aExpected, const char* aId = nullptr)
   {
     OperatorCall call;
     call.m_operation =
@@ -51,12 +54,12 @@
     return m_state.Apply(m_index, aCommand);
   }
 
-  void Announce(const Announcement& aSaid)
+  void Announce(const Announcement& aAnnouncement)
   {
-    Apply(AnnounceInstances{ { aSaid } });
+    Apply(AnnounceInstances{ { aAnnouncement } });
   }
 
-  const Instance& At(const char* aId)
+  const Instance& InstanceAt(const char* aId)
   {
     return m_state.Instances().at(InstanceId{ aId });
   }
@@ -69,25 +72,28 @@
 TEST(FleetState, TwoOperators_EqualRevisions_OneWinsOtherLearnsWhoWon)
 {
   const auto revision = m_state.Pools().at(PoolId{ "p" }).m_change.m_revision;
-  const auto won =
-    Do(DrainPool{ PoolId{ "p" }, true }, revision.Get(), "first");
-  const auto lost =
-    Do(DrainPool{ PoolId{ "p" }, false }, revision.Get(), "second");
-  CHECK(won.m_refusal == Refusal::kNone);
-  CHECK(lost.m_refusal == Refusal::kConflict);
-  CHECK_STRING("first", lost.m_winner.Get());
-  CHECK_STRING("anna", lost.m_winnerOperator);
+  const auto accepted =
+    Execute(DrainPool{ PoolId{ "p" }, true }, revision.Get(), "first");
+  const auto refused =
+    Execute(DrainPool{ PoolId{ "p" }, false }, revision.Get(), "second");
+  CHECK(accepted.m_refusal == Refusal::kNone);
+  CHECK(refused.m_refusal == Refusal::kConflict);
+  CHECK_STRING("first", refused.m_winner.Get());
+  CHECK_STRING("anna", refused.m_winnerOperator);
   CHECK(m_state.Pools().at(PoolId{ "p" }).m_draining);
 }
 
-// The answer is lost, the operator sends the call again, later and elsewhere;
-// in between another operator changed the object.
+// The reply is lost and the operator resends the call, possibly to another
+// replica, after another operator has changed the object. The call must not
+// take effect again.
 TEST(FleetState, Call_ResentAfterLostAnswer_GetsFirstAnswerAndActsOnce)
 {
-  const auto first = Do(PutPool{ PoolId{ "q" }, ServiceId{ "s" }, "" }, 0, "x");
-  Do(DrainPool{ PoolId{ "q" }, true }, first.m_revision.Get());
+  const auto first =
+    Execute(PutPool{ PoolId{ "q" }, ServiceId{ "s" }, "" }, 0, "x");
+  Execute(DrainPool{ PoolId{ "q" }, true }, first.m_revision.Get());
   m_state = *State::Decode(m_state.Encode());
-  const auto again = Do(PutPool{ PoolId{ "q" }, ServiceId{ "s" }, "" }, 0, "x");
+  const auto again =
+    Execute(PutPool{ PoolId{ "q" }, ServiceId{ "s" }, "" }, 0, "x");
   CHECK(again.m_refusal == Refusal::kNone);
   CHECK(again.m_revision == first.m_revision);
   CHECK(m_state.Pools().at(PoolId{ "q" }).m_draining);
@@ -95,58 +101,59 @@
 
 TEST(FleetState, Refusal_Resent_GetsSameRefusal)
 {
-  const auto refused = Do(RemovePool{ PoolId{ "none" } }, 0, "y");
+  const auto refused = Execute(RemovePool{ PoolId{ "none" } }, 0, "y");
   CHECK(refused.m_refusal == Refusal::kNotFound);
-  const auto again = Do(RemovePool{ PoolId{ "none" } }, 0, "y");
+  const auto again = Execute(RemovePool{ PoolId{ "none" } }, 0, "y");
   CHECK(again.m_refusal == Refusal::kNotFound);
 }
 
-TEST(FleetState, Announcement_OlderLifeOrReordered_IsIgnored)
+TEST(FleetState, Announcement_EarlierIncarnationOrReordered_IsIgnored)
 {
-  Announce(Said("w", 2, 5));
-  Announcement older = Said("w", 1, 9);
+  Announce(MakeAnnouncement("w", 2, 5));
+  Announcement older = MakeAnnouncement("w", 1, 9);
   older.m_state = InstanceState::kLeaving;
   Announce(older);
-  Announcement reordered = Said("w", 2, 4);
+  Announcement reordered = MakeAnnouncement("w", 2, 4);
   reordered.m_state = InstanceState::kLeaving;
   Announce(reordered);
-  CHECK(At("w").m_announced.m_state == InstanceState::kUp);
-  LONGS_EQUAL(5, At("w").m_announced.m_sequence);
+  CHECK(InstanceAt("w").m_announced.m_state == InstanceState::kUp);
+  LONGS_EQUAL(5, InstanceAt("w").m_announced.m_sequence);
 }
 
-TEST(FleetState, LostInstance_HeardAgain_IsBack)
+TEST(FleetState, LostInstance_AnnouncedAgain_IsNoLongerLost)
 {
-  Announce(Said("w", 1, 1));
+  Announce(MakeAnnouncement("w", 1, 1));
   Apply(LoseInstances{ { InstanceId{ "w" } } });
-  CHECK(At("w").m_lost);
-  Announce(Said("w", 1, 1));
-  CHECK_FALSE(At("w").m_lost);
+  CHECK(InstanceAt("w").m_lost);
+  Announce(MakeAnnouncement("w", 1, 1));
+  CHECK_FALSE(InstanceAt("w").m_lost);
 }
 
 TEST(FleetState, Instance_MovedByOperator_StaysThroughAnnouncements)
 {
-  Do(PutPool{ PoolId{ "q" }, ServiceId{ "s" }, "" }, 0);
-  Announce(Said("w", 1, 1));
-  CHECK(At("w").m_pool == PoolId{ "p" });
-  CHECK(Do(MoveInstance{ InstanceId{ "w" }, PoolId{ "q" } }, 0).m_refusal ==
-        Refusal::kNone);
-  Announce(Said("w", 2, 1));
-  CHECK(At("w").m_pool == PoolId{ "q" });
+  Execute(PutPool{ PoolId{ "q" }, ServiceId{ "s" }, "" }, 0);
+  Announce(MakeAnnouncement("w", 1, 1));
+  CHECK(InstanceAt("w").m_pool == PoolId{ "p" });
+  CHECK(
+    Execute(MoveInstance{ InstanceId{ "w" }, PoolId{ "q" } }, 0).m_refusal ==
+    Refusal::kNone);
+  Announce(MakeAnnouncement("w", 2, 1));
+  CHECK(InstanceAt("w").m_pool == PoolId{ "q" });
 }
 
 TEST(FleetState, Pool_WithInstances_CannotBeRemoved)
 {
-  Announce(Said("w", 1, 1));
+  Announce(MakeAnnouncement("w", 1, 1));
   const auto revision = m_state.Pools().at(PoolId{ "p" }).m_change.m_revision;
-  CHECK(Do(RemovePool{ PoolId{ "p" } }, revision.Get()).m_refusal ==
+  CHECK(Execute(RemovePool{ PoolId{ "p" } }, revision.Get()).m_refusal ==
         Refusal::kInUse);
 }
 
-TEST(FleetState, Service_NamedLikeAnOwnPath_IsRefused)
+TEST(FleetState, Service_NamedLikeAnEntryPath_IsRefused)
 {
   Service service;
   service.m_id = ServiceId{ "metrics" };
-  CHECK(Do(PutService{ service }, 0).m_refusal == Refusal::kInvalid);
+  CHECK(Execute(PutService{ service }, 0).m_refusal == Refusal::kInvalid);
 }
 
 TEST(FleetState, Config_OutOfRange_ChangesNothing)
@@ -155,7 +162,7 @@
   config.m_panicPercent = 101;
   config.m_note = "bad";
   const Index before = m_state.ViewRevision();
-  const auto refused = Do(SetConfig{ config }, 0);
+  const auto refused = Execute(SetConfig{ config }, 0);
   CHECK(refused.m_refusal == Refusal::kInvalid);
   CHECK(refused.m_message.find("panicPercent") != std::string::npos);
   CHECK(m_state.ViewRevision() == before);
@@ -164,10 +171,10 @@
 
 TEST(FleetState, WaveStep_ProposedTwice_IsTakenOnce)
 {
-  Announce(Said("w", 1, 1));
-  const auto created = Do(CreateWave{ WaveId{ "v" }, PoolId{ "p" } }, 0);
-  Do(SetWaveState{ WaveId{ "v" }, WaveState::kRunning },
-     created.m_revision.Get());
+  Announce(MakeAnnouncement("w", 1, 1));
+  const auto created = Execute(CreateWave{ WaveId{ "v" }, PoolId{ "p" } }, 0);
+  Execute(SetWaveState{ WaveId{ "v" }, WaveState::kRunning },
+          created.m_revision.Get());
   const AdvanceWave step{
     WaveId{ "v" }, InstanceId{ "w" }, WaveStep::kWaiting, WaveStep::kDraining
   };
@@ -179,14 +186,14 @@
   Apply(step);
   const auto& wave = m_state.Waves().at(WaveId{ "v" });
   CHECK(wave.m_instances.at(InstanceId{ "w" }).m_step == WaveStep::kReleased);
-  CHECK(At("w").m_wave == WaveId{ "v" });
+  CHECK(InstanceAt("w").m_wave == WaveId{ "v" });
 }
 
 TEST(FleetState, View_SinceRevision_HoldsOnlyWhatChanged)
 {
-  Announce(Said("w", 1, 1));
+  Announce(MakeAnnouncement("w", 1, 1));
   const Index seen = m_state.ViewRevision();
-  Announce(Said("x", 1, 1));
+  Announce(MakeAnnouncement("x", 1, 1));
   const View view = m_state.ViewSince(seen);
   CHECK_FALSE(view.m_full);
   LONGS_EQUAL(1, view.m_instances.size());
@@ -196,7 +203,7 @@
 
 TEST(FleetState, Snapshot_DecodedAndContinued_EqualsOriginal)
 {
-  Announce(Said("w", 1, 1));
+  Announce(MakeAnnouncement("w", 1, 1));
   outcome::Begin begin;
   begin.m_request = RequestId{ "r" };
   begin.m_digest = std::string("\xff\x00\x80", 3);
@@ -208,10 +215,10 @@
   CHECK(m_state.Encode() == copy.Encode());
 }
 
-// A leader is elected and restores the state from a snapshot. What an earlier
-// one has asked the platform lately must be in it, or two leaders take turns
-// with an instance.
-TEST(FleetState, OrdersOnRecord_SnapshotDecoded_ThereUntilSettled)
+// A new leader restores the state from a snapshot. If the recent orders of an
+// earlier leader were missing in it, the two leaders would send conflicting
+// orders for one instance.
+TEST(FleetState, RecentOrders_SnapshotDecoded_KeptUntilSettled)
 {
   Apply(RecordOrders{ { InstanceId{ "a" }, InstanceId{ "b" } }, {} });
   MaintenanceWave wave;
@@ -238,13 +245,12 @@
   CHECK_FALSE(State::Decode("").has_value());
 }
 
-// Moves, removals, announcements and wave steps race in any order; after each
-// command every instance must be in one pool of its own service, or in none
-// if no pool takes it.
+// Moves, removals, announcements and new waves arrive in random order. After
+// each command every instance must be in one pool of its own service.
 TEST(FleetState, RacingCommands_AnyOrder_InstanceIsInOnePoolOfItsService)
 {
   std::mt19937 random(7);
-  Do(PutPool{ PoolId{ "q" }, ServiceId{ "s" }, "" }, 0);
+  Execute(PutPool{ PoolId{ "q" }, ServiceId{ "s" }, "" }, 0);
   for (int i = 0; i < 3000; ++i) {
     const std::string id = "w" + std::to_string(random() % 5);
     const PoolId pool{ random() % 2 == 0 ? "p" : "q" };
@@ -254,19 +260,19 @@
                                      : found->second.m_change.m_revision.Get();
     switch (random() % 5) {
       case 0:
-        Announce(Said(id.c_str(), 1 + random() % 3, random() % 10));
+        Announce(MakeAnnouncement(id.c_str(), 1 + random() % 3, random() % 10));
         break;
       case 1:
-        Do(MoveInstance{ InstanceId{ id }, pool }, revision);
+        Execute(MoveInstance{ InstanceId{ id }, pool }, revision);
         break;
       case 2:
         Apply(LoseInstances{ { InstanceId{ id } } });
         break;
       case 3:
-        Do(RemoveInstance{ InstanceId{ id } }, revision);
+        Execute(RemoveInstance{ InstanceId{ id } }, revision);
         break;
       default:
-        Do(CreateWave{ WaveId{ "v" + std::to_string(i) }, pool }, 0);
+        Execute(CreateWave{ WaveId{ "v" + std::to_string(i) }, pool }, 0);
         break;
     }
     for (const auto& [key, instance] : m_state.Instances()) {
