--- a/include/bamboostile/outcome/ledger.h
+++ b/include/bamboostile/outcome/ledger.h
@@ -8,18 +8,19 @@
 namespace bamboostile::outcome {
 
 /**
- * @brief The replicated record of non-idempotent requests: who may run one,
- * and how it ended.
+ * @brief The replicated ledger of non-idempotent requests: which entry may run
+ * an attempt of a request, and the outcome of that attempt.
  *
- * Deterministic; it changes only through the log. An attempt is granted once.
- * A new attempt of the same request is granted only after the one before it
- * is on record as not run.
+ * Deterministic; it changes only through the log. Each attempt is granted once.
+ * The next attempt of a request is granted only after the previous one has been
+ * recorded as not run.
  */
 class Ledger
 {
 public:
   BeginReply Apply(Index aIndex, const Begin& aBegin);
-  /** Returns false where the attempt is unknown or held by another. */
+  /** Returns false if the attempt is unknown, held by another entry or call, or
+   * already resolved with another state. */
   bool Apply(Index aIndex, const Resolve& aResolve);
   void Apply(Index aIndex, const Expire& aExpire);
 
@@ -33,7 +34,7 @@
   void Restore(RequestId aRequest, Record aRecord);
 
 private:
-  void Touch(const RequestId& aRequest, Record& aRecord, Index aIndex);
+  void UpdateModified(const RequestId& aRequest, Record& aRecord, Index aIndex);
 
   std::unordered_map<RequestId, Record> m_records;
   std::map<Index, RequestId> m_byModified;
--- a/include/bamboostile/outcome/types.h
+++ b/include/bamboostile/outcome/types.h
@@ -9,7 +9,7 @@
 
 namespace bamboostile::outcome {
 
-/** One life of one entry process. */
+/** One incarnation of an entry process. */
 struct EntryId
 {
   InstanceId m_instance;
@@ -24,13 +24,13 @@
   std::string m_value;
 };
 
-/** An upstream's answer as the caller is to see it. */
+/** An upstream's answer in the form in which callers receive it. */
 struct Answer
 {
   std::uint32_t m_status = 0;
   std::vector<Header> m_headers;
   std::string m_body;
-  /** The body was larger than what is kept. */
+  /** The body exceeded the size limit of kept answers. */
   bool m_bodyDropped = false;
 };
 
@@ -44,22 +44,22 @@
 
 const char* Describe(State aState) noexcept;
 
-/** An entry asks for the right to run one attempt of a request. */
+/** A request by an entry for the right to run one attempt of a request. */
 struct Begin
 {
   RequestId m_request;
   std::uint32_t m_attempt = 1;
-  /** Of method, target and body: another request under the same id is told
-   * so instead of getting a stranger's answer. */
+  /** Digest of method, target and body. It detects another request under the
+   * same id, which must not get the answer of this one. */
   std::string m_digest;
   EntryId m_holder;
-  /** Told apart from an earlier call of the same entry for another copy. */
+  /** Distinguishes the entry's calls for different copies of a request. */
   std::uint64_t m_ticket = 0;
-  /** The entry refuses this attempt and only wants that on record. */
+  /** The entry refuses this attempt; Begin only records that. */
   bool m_refused = false;
 };
 
-/** The holder states how its attempt ended. */
+/** The outcome of an attempt, reported by its holder. */
 struct Resolve
 {
   RequestId m_request;
@@ -70,7 +70,7 @@
   std::optional<Answer> m_answer;
 };
 
-/** Forgets what was recorded at or before a position of the log. */
+/** Removes records last changed at or before a log position. */
 struct Expire
 {
   Index m_upTo;
@@ -78,13 +78,14 @@
 
 enum class Verdict
 {
-  /** The caller of Begin holds the attempt; nobody else will ever run it. */
+  /** The sender of Begin holds the attempt; no other will ever run it. */
   kGranted,
-  /** Another copy holds it, or it has ended: m_record says how. */
+  /** Another copy holds the attempt, or it has ended; see m_record. */
   kRecorded,
-  /** The same id was used for a different request. */
+  /** The id was already used for a different request. */
   kDigestMismatch,
-  /** A later attempt than the recorded one, which has not ended not-run. */
+  /** The attempt is not the next one, or the recorded one did not end as not
+   * run. */
   kAttemptNotAllowed,
 };
 
@@ -96,7 +97,7 @@
   std::uint64_t m_ticket = 0;
   State m_state = State::kInProgress;
   std::optional<Answer> m_answer;
-  /** Where it was last changed; expiry goes by it. */
+  /** Log position of the last change, which determines expiry. */
   Index m_modified;
 };
 
--- a/src/outcome/ledger.cpp
+++ b/src/outcome/ledger.cpp
@@ -47,7 +47,7 @@
   record.m_ticket = aBegin.m_ticket;
   record.m_state = aBegin.m_refused ? State::kNotRun : State::kInProgress;
   record.m_answer.reset();
-  Touch(aBegin.m_request, record, aIndex);
+  UpdateModified(aBegin.m_request, record, aIndex);
   const Verdict verdict =
     aBegin.m_refused ? Verdict::kRecorded : Verdict::kGranted;
   return { verdict, record };
@@ -67,13 +67,13 @@
   if (!isHolder) {
     return false;
   }
-  // The first statement stands: a caller may have been told it already.
+  // The first outcome is final: a caller may already have received it.
   if (record.m_state != State::kInProgress) {
     return record.m_state == aResolve.m_state;
   }
   record.m_state = aResolve.m_state;
   record.m_answer = aResolve.m_answer;
-  Touch(aResolve.m_request, record, aIndex);
+  UpdateModified(aResolve.m_request, record, aIndex);
   return true;
 }
 
@@ -102,7 +102,7 @@
 }
 
 void
-Ledger::Touch(const RequestId& aRequest, Record& aRecord, Index aIndex)
+Ledger::UpdateModified(const RequestId& aRequest, Record& aRecord, Index aIndex)
 {
   m_byModified.erase(aRecord.m_modified);
   aRecord.m_modified = aIndex;
--- a/tests/unit/outcome/ledger_test.cpp
+++ b/tests/unit/outcome/ledger_test.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-const EntryId kOne{ InstanceId{ "e1" }, Incarnation{ 1 } };
-const EntryId kOther{ InstanceId{ "e2" }, Incarnation{ 1 } };
+const EntryId kEntry{ InstanceId{ "e1" }, Incarnation{ 1 } };
+const EntryId kOtherEntry{ InstanceId{ "e2" }, Incarnation{ 1 } };
 
 Begin
-BeginOf(const EntryId& aHolder, std::uint64_t aTicket, std::uint32_t aAttempt)
+MakeBegin(const EntryId& aHolder, std::uint64_t aTicket, std::uint32_t aAttempt)
 {
   return { RequestId{ "r" }, aAttempt, "digest", aHolder, aTicket, false };
 }
 
 Resolve
-ResolveOf(const EntryId& aHolder, std::uint64_t aTicket, State aState)
+MakeResolve(const EntryId& aHolder, std::uint64_t aTicket, State aState)
 {
   return { RequestId{ "r" }, 1, aHolder, aTicket, aState, std::nullopt };
 }
@@ -26,7 +26,7 @@
 
 TEST_GROUP(Ledger)
 {
-  Index Position()
+  Index NextPosition()
   {
     m_index = Next(m_index);
     return m_index;
@@ -38,93 +38,101 @@
 
 TEST(Ledger, Attempt_BegunAtTwoEntries_IsGrantedOnce)
 {
-  CHECK(m_ledger.Apply(Position(), BeginOf(kOne, 1, 1)).m_verdict ==
+  CHECK(m_ledger.Apply(NextPosition(), MakeBegin(kEntry, 1, 1)).m_verdict ==
         Verdict::kGranted);
-  CHECK(m_ledger.Apply(Position(), BeginOf(kOther, 1, 1)).m_verdict ==
-        Verdict::kRecorded);
+  CHECK(
+    m_ledger.Apply(NextPosition(), MakeBegin(kOtherEntry, 1, 1)).m_verdict ==
+    Verdict::kRecorded);
 }
 
-// The grant was committed and its answer lost; the entry asks again with the
-// same ticket and must not be told that another holds its attempt.
+// The grant is committed but its reply is lost. The entry repeats the call with
+// the same ticket and must get the grant, not a refusal because of its own
+// earlier call.
 TEST(Ledger, Attempt_SameCallRepeated_IsGrantedAgain)
 {
-  m_ledger.Apply(Position(), BeginOf(kOne, 1, 1));
-  CHECK(m_ledger.Apply(Position(), BeginOf(kOne, 1, 1)).m_verdict ==
+  m_ledger.Apply(NextPosition(), MakeBegin(kEntry, 1, 1));
+  CHECK(m_ledger.Apply(NextPosition(), MakeBegin(kEntry, 1, 1)).m_verdict ==
         Verdict::kGranted);
-  CHECK(m_ledger.Apply(Position(), BeginOf(kOne, 2, 1)).m_verdict ==
+  CHECK(m_ledger.Apply(NextPosition(), MakeBegin(kEntry, 2, 1)).m_verdict ==
         Verdict::kRecorded);
 }
 
 TEST(Ledger, SameId_OtherDigest_IsMismatch)
 {
-  m_ledger.Apply(Position(), BeginOf(kOne, 1, 1));
-  Begin other = BeginOf(kOther, 1, 1);
+  m_ledger.Apply(NextPosition(), MakeBegin(kEntry, 1, 1));
+  Begin other = MakeBegin(kOtherEntry, 1, 1);
   other.m_digest = "another";
-  CHECK(m_ledger.Apply(Position(), other).m_verdict ==
+  CHECK(m_ledger.Apply(NextPosition(), other).m_verdict ==
         Verdict::kDigestMismatch);
 }
 
-// A second attempt may run only behind a recorded "not run"; while the first
-// is open, done or unknown, it would be a second run.
+// A second attempt may run only after the first is recorded as not run. If the
+// first is in progress, done or unknown, the request could run twice.
 TEST(Ledger, SecondAttempt_FirstNotOnRecordAsNotRun_IsNotAllowed)
 {
-  m_ledger.Apply(Position(), BeginOf(kOne, 1, 1));
-  CHECK(m_ledger.Apply(Position(), BeginOf(kOther, 1, 2)).m_verdict ==
-        Verdict::kAttemptNotAllowed);
+  m_ledger.Apply(NextPosition(), MakeBegin(kEntry, 1, 1));
+  CHECK(
+    m_ledger.Apply(NextPosition(), MakeBegin(kOtherEntry, 1, 2)).m_verdict ==
+    Verdict::kAttemptNotAllowed);
   for (const State ended : { State::kDone, State::kUnknown }) {
     outcome::Ledger ledger;
-    ledger.Apply(Index{ 1 }, BeginOf(kOne, 1, 1));
-    ledger.Apply(Index{ 2 }, ResolveOf(kOne, 1, ended));
-    CHECK(ledger.Apply(Index{ 3 }, BeginOf(kOther, 1, 2)).m_verdict ==
+    ledger.Apply(Index{ 1 }, MakeBegin(kEntry, 1, 1));
+    ledger.Apply(Index{ 2 }, MakeResolve(kEntry, 1, ended));
+    CHECK(ledger.Apply(Index{ 3 }, MakeBegin(kOtherEntry, 1, 2)).m_verdict ==
           Verdict::kAttemptNotAllowed);
   }
 }
 
-TEST(Ledger, SecondAttempt_BehindNotRun_IsGrantedAndFirstStaysNotRun)
+TEST(Ledger, SecondAttempt_AfterNotRun_IsGrantedAndFirstStaysNotRun)
 {
-  m_ledger.Apply(Position(), BeginOf(kOne, 1, 1));
-  m_ledger.Apply(Position(), ResolveOf(kOne, 1, State::kNotRun));
-  CHECK(m_ledger.Apply(Position(), BeginOf(kOther, 7, 2)).m_verdict ==
-        Verdict::kGranted);
-  CHECK(m_ledger.Apply(Position(), BeginOf(kOne, 9, 1)).m_verdict ==
+  m_ledger.Apply(NextPosition(), MakeBegin(kEntry, 1, 1));
+  m_ledger.Apply(NextPosition(), MakeResolve(kEntry, 1, State::kNotRun));
+  CHECK(
+    m_ledger.Apply(NextPosition(), MakeBegin(kOtherEntry, 7, 2)).m_verdict ==
+    Verdict::kGranted);
+  CHECK(m_ledger.Apply(NextPosition(), MakeBegin(kEntry, 9, 1)).m_verdict ==
         Verdict::kRecorded);
-  CHECK(m_ledger.Apply(Position(), BeginOf(kOne, 9, 4)).m_verdict ==
+  CHECK(m_ledger.Apply(NextPosition(), MakeBegin(kEntry, 9, 4)).m_verdict ==
         Verdict::kAttemptNotAllowed);
 }
 
 TEST(Ledger, Resolve_FromAnotherThanTheHolder_ChangesNothing)
 {
-  m_ledger.Apply(Position(), BeginOf(kOne, 1, 1));
-  CHECK_FALSE(m_ledger.Apply(Position(), ResolveOf(kOther, 1, State::kNotRun)));
-  CHECK_FALSE(m_ledger.Apply(Position(), ResolveOf(kOne, 2, State::kNotRun)));
+  m_ledger.Apply(NextPosition(), MakeBegin(kEntry, 1, 1));
+  CHECK_FALSE(m_ledger.Apply(NextPosition(),
+                             MakeResolve(kOtherEntry, 1, State::kNotRun)));
+  CHECK_FALSE(
+    m_ledger.Apply(NextPosition(), MakeResolve(kEntry, 2, State::kNotRun)));
   CHECK(m_ledger.Find(RequestId{ "r" })->m_state == State::kInProgress);
 }
 
-TEST(Ledger, Resolve_SecondStatement_FirstStands)
+TEST(Ledger, Resolve_SecondOutcome_FirstIsKept)
 {
-  m_ledger.Apply(Position(), BeginOf(kOne, 1, 1));
-  m_ledger.Apply(Position(), ResolveOf(kOne, 1, State::kDone));
-  CHECK_FALSE(m_ledger.Apply(Position(), ResolveOf(kOne, 1, State::kNotRun)));
+  m_ledger.Apply(NextPosition(), MakeBegin(kEntry, 1, 1));
+  m_ledger.Apply(NextPosition(), MakeResolve(kEntry, 1, State::kDone));
+  CHECK_FALSE(
+    m_ledger.Apply(NextPosition(), MakeResolve(kEntry, 1, State::kNotRun)));
   CHECK(m_ledger.Find(RequestId{ "r" })->m_state == State::kDone);
 }
 
 TEST(Ledger, Refusal_Recorded_NoLaterCopyRuns)
 {
-  Begin refusal = BeginOf(kOne, 1, 1);
+  Begin refusal = MakeBegin(kEntry, 1, 1);
   refusal.m_refused = true;
-  m_ledger.Apply(Position(), refusal);
-  const BeginReply late = m_ledger.Apply(Position(), BeginOf(kOther, 1, 1));
+  m_ledger.Apply(NextPosition(), refusal);
+  const BeginReply late =
+    m_ledger.Apply(NextPosition(), MakeBegin(kOtherEntry, 1, 1));
   CHECK(late.m_verdict == Verdict::kRecorded);
   CHECK(late.m_record.m_state == State::kNotRun);
 }
 
 TEST(Ledger, Expire_UpToPosition_ForgetsOnlyWhatIsOlder)
 {
-  m_ledger.Apply(Position(), BeginOf(kOne, 1, 1));
-  Begin later = BeginOf(kOne, 2, 1);
+  m_ledger.Apply(NextPosition(), MakeBegin(kEntry, 1, 1));
+  Begin later = MakeBegin(kEntry, 2, 1);
   later.m_request = RequestId{ "s" };
-  m_ledger.Apply(Position(), later);
-  m_ledger.Apply(Position(), Expire{ Index{ 1 } });
+  m_ledger.Apply(NextPosition(), later);
+  m_ledger.Apply(NextPosition(), Expire{ Index{ 1 } });
   CHECK(m_ledger.Find(RequestId{ "r" }) == nullptr);
   CHECK(m_ledger.Find(RequestId{ "s" }) != nullptr);
 }
