--- a/include/bamboostile/json/fields.h
+++ b/include/bamboostile/json/fields.h
@@ -10,27 +10,27 @@
 
 /**
  * @file
- * @brief Reading JSON that strangers send: every helper checks the type and
- * the range, and names the field where they are wrong.
+ * @brief Reads untrusted JSON: every function checks type and range, and names
+ * the field that is invalid.
  */
 namespace bamboostile::json {
 
 using Json = nlohmann::json;
 
-/** Larger than any time or number that is meant; exact in a double. */
+/** Larger than any valid time or count, and exact in a double. */
 constexpr std::int64_t kMaxWhole = std::int64_t{ 1 } << 52;
 
-/** The first field that is wrong, and what would be right. */
+/** The first invalid field, and a description of the allowed values. */
 struct BadField
 {
   std::string m_field;
   std::string m_allowed;
 };
 
-/** A JSON body that tells a caller which field was wrong. */
-std::string ToJson(const BadField& aBad);
+/** Returns a JSON body that tells a caller which field is invalid. */
+std::string ToJson(const BadField& aInvalid);
 
-/** Thrown by the helpers; Guarded() turns it into a result. */
+/** Thrown for an invalid field; CatchInvalidField() turns it into a result. */
 struct Wrong
 {
   BadField m_bad;
@@ -40,9 +40,11 @@
                          const std::string& aAllowed);
 
 Json ParseObject(const std::string& aBody);
-/** Absent and null are the same. */
-const Json* Find(const Json& aFrom, const char* aKey);
-const Json& ListAt(const Json& aFrom, const char* aKey, bool aRequired = false);
+/** Returns null if the field is absent or null. */
+const Json* Find(const Json& aObject, const char* aKey);
+const Json& ListAt(const Json& aObject,
+                   const char* aKey,
+                   bool aRequired = false);
 
 std::int64_t Whole(const Json& aValue,
                    const std::string& aField,
@@ -51,27 +53,28 @@
 std::uint32_t CountOf(const Json& aValue, const char* aField);
 std::string TextOf(const Json& aValue, const char* aField);
 
-/** These take 0, false or the empty string where the field is absent. */
-std::int64_t WholeAt(const Json& aFrom, const char* aKey);
-std::uint32_t CountAt(const Json& aFrom, const char* aKey);
-Millis MillisAt(const Json& aFrom, const char* aKey);
-double NumberAt(const Json& aFrom, const char* aKey, double aDefault = 0);
-bool FlagAt(const Json& aFrom, const char* aKey, bool aDefault = false);
-std::string TextAt(const Json& aFrom, const char* aKey);
-/** Must be there and not empty. */
-std::string NameAt(const Json& aFrom, const char* aKey);
+/** The functions below return aDefault, 0 or the empty string if the field is
+ * absent. */
+std::int64_t WholeAt(const Json& aObject, const char* aKey);
+std::uint32_t CountAt(const Json& aObject, const char* aKey);
+Millis MillisAt(const Json& aObject, const char* aKey);
+double NumberAt(const Json& aObject, const char* aKey, double aDefault = 0);
+bool FlagAt(const Json& aObject, const char* aKey, bool aDefault = false);
+std::string TextAt(const Json& aObject, const char* aKey);
+/** Rejects a field that is absent or empty. */
+std::string NameAt(const Json& aObject, const char* aKey);
 
-/** Runs a reader; nothing, and aBad set, where it rejected something. */
+/** Runs a reader; if it rejects a field, returns nullopt and sets aInvalid. */
 template<typename Fn>
 auto
-Guarded(BadField& aBad, Fn aRead) -> std::optional<decltype(aRead())>
+Guarded(BadField& aInvalid, Fn aRead) -> std::optional<decltype(aRead())>
 {
   try {
     return aRead();
-  } catch (const Wrong& wrong) {
-    aBad = wrong.m_bad;
+  } catch (const Wrong& invalid) {
+    aInvalid = invalid.m_bad;
   } catch (const Json::exception& error) {
-    aBad = { "(body)", error.what() };
+    aInvalid = { "(body)", error.what() };
   }
   return std::nullopt;
 }
--- a/src/json/fields.cpp
+++ b/src/json/fields.cpp
@@ -5,10 +5,11 @@
 namespace bamboostile::json {
 
 std::string
-ToJson(const BadField& aBad)
+ToJson(const BadField& aInvalid)
 {
-  return Json{ { "field", aBad.m_field }, { "allowed", aBad.m_allowed } }.dump(
-    -1, ' ', false, Json::error_handler_t::replace);
+  return Json{
+    { "field", aInvalid.m_field }, { "allowed", aInvalid.m_allowed }
+  }.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
 void
@@ -28,17 +29,17 @@
 }
 
 const Json*
-Find(const Json& aFrom, const char* aKey)
+Find(const Json& aObject, const char* aKey)
 {
-  const auto found = aFrom.find(aKey);
-  return found == aFrom.end() || found->is_null() ? nullptr : &*found;
+  const auto found = aObject.find(aKey);
+  return found == aObject.end() || found->is_null() ? nullptr : &*found;
 }
 
 const Json&
-ListAt(const Json& aFrom, const char* aKey, bool aRequired)
+ListAt(const Json& aObject, const char* aKey, bool aRequired)
 {
   static const Json kEmpty = Json::array();
-  const Json* value = Find(aFrom, aKey);
+  const Json* value = Find(aObject, aKey);
   if (value == nullptr && !aRequired) {
     return kEmpty;
   }
@@ -54,11 +55,11 @@
       std::int64_t aMin,
       std::int64_t aMax)
 {
-  const bool isWhole = aValue.is_number_integer();
+  const bool isInteger = aValue.is_number_integer();
   const bool tooLarge =
     aValue.is_number_unsigned() &&
     aValue.get<std::uint64_t>() > static_cast<std::uint64_t>(aMax);
-  if (!isWhole || tooLarge || aValue.get<std::int64_t>() < aMin ||
+  if (!isInteger || tooLarge || aValue.get<std::int64_t>() < aMin ||
       aValue.get<std::int64_t>() > aMax) {
     Reject(aField,
            "a whole number from " + std::to_string(aMin) + " to " +
@@ -84,29 +85,29 @@
 }
 
 std::int64_t
-WholeAt(const Json& aFrom, const char* aKey)
+WholeAt(const Json& aObject, const char* aKey)
 {
-  const Json* value = Find(aFrom, aKey);
+  const Json* value = Find(aObject, aKey);
   return value == nullptr ? 0 : Whole(*value, aKey, 0, kMaxWhole);
 }
 
 std::uint32_t
-CountAt(const Json& aFrom, const char* aKey)
+CountAt(const Json& aObject, const char* aKey)
 {
-  const Json* value = Find(aFrom, aKey);
+  const Json* value = Find(aObject, aKey);
   return value == nullptr ? 0 : CountOf(*value, aKey);
 }
 
 Millis
-MillisAt(const Json& aFrom, const char* aKey)
+MillisAt(const Json& aObject, const char* aKey)
 {
-  return Millis{ WholeAt(aFrom, aKey) };
+  return Millis{ WholeAt(aObject, aKey) };
 }
 
 double
-NumberAt(const Json& aFrom, const char* aKey, double aDefault)
+NumberAt(const Json& aObject, const char* aKey, double aDefault)
 {
-  const Json* value = Find(aFrom, aKey);
+  const Json* value = Find(aObject, aKey);
   if (value == nullptr) {
     return aDefault;
   }
@@ -117,9 +118,9 @@
 }
 
 bool
-FlagAt(const Json& aFrom, const char* aKey, bool aDefault)
+FlagAt(const Json& aObject, const char* aKey, bool aDefault)
 {
-  const Json* value = Find(aFrom, aKey);
+  const Json* value = Find(aObject, aKey);
   if (value == nullptr) {
     return aDefault;
   }
@@ -130,16 +131,16 @@
 }
 
 std::string
-TextAt(const Json& aFrom, const char* aKey)
+TextAt(const Json& aObject, const char* aKey)
 {
-  const Json* value = Find(aFrom, aKey);
+  const Json* value = Find(aObject, aKey);
   return value == nullptr ? std::string{} : TextOf(*value, aKey);
 }
 
 std::string
-NameAt(const Json& aFrom, const char* aKey)
+NameAt(const Json& aObject, const char* aKey)
 {
-  std::string name = TextAt(aFrom, aKey);
+  std::string name = TextAt(aObject, aKey);
   if (name.empty()) {
     Reject(aKey, "a string that is not empty");
   }
