--- a/include/bamboostile/membership/registry.h
+++ b/include/bamboostile/membership/registry.h
@@ -11,16 +11,17 @@
 
 struct Options
 {
-  /** Counted by an entry from when it asked, so it ends there first. */
+  /** Lease of an entry. The entry counts it from when it sent the request, so
+   * it ends there first. */
   Duration m_entryLease = Millis{ 1500 };
-  /** Added here for clocks that run at different speeds, in percent. */
+  /** Percentage added to leases here, since clocks run at different speeds. */
   int m_driftPercent = 10;
-  /** Silence after which an upstream is taken as lost. */
+  /** Time without a report after which an upstream counts as lost. */
   Duration m_upstreamTtl = Millis{ 6000 };
-  /** If more than this share falls silent together, the fault is taken to be
-   * on our side, and nobody is dropped. */
-  int m_suspectSelfPercent = 60;
-  /** How long work of an entry that vanished may still be running. */
+  /** If more than this percentage of upstreams is unresponsive at once, the
+   * leader assumes that it is cut off itself, and none is marked as lost. */
+  int m_selfPartitionedPercent = 60;
+  /** How long work of an entry whose lease has ended may still be running. */
   Duration m_orphanGrace = Millis{ 5000 };
 };
 
@@ -51,15 +52,16 @@
   std::map<InstanceId, std::uint32_t> m_inFlight;
 };
 
-/** One number for one life of an instance: eight bytes carry a renewal. */
+/** Identifies one incarnation of an instance in eight bytes of a renewal. */
 std::uint64_t RenewalKey(const InstanceId& aInstance, Incarnation aIncarnation);
 
 /**
- * @brief What only the leader knows, and only in memory: which entries may
- * still serve, what they have in force, and which upstreams were heard from.
+ * @brief Leader-only state, kept in memory: which entries may still serve,
+ * which revision each has in force, and when upstreams last reported.
  *
- * A new leader starts with nothing and must assume, for one lease, that
- * entries it has not heard from still serve what the old leader gave them.
+ * A new leader starts with an empty registry. For one lease it must assume that
+ * entries which have not reported to it still serve the state that the previous
+ * leader gave them.
  */
 class Registry
 {
@@ -69,27 +71,27 @@
   {
   }
 
-  /** Forgets everything; called when this replica becomes leader. */
+  /** Clears the registry; called when this replica becomes leader. */
   void Reset(TimePoint aNow);
 
   void OnSync(const SyncReport& aReport, TimePoint aNow);
-  /** An announcement arrived; counts as a sign of life. */
+  /** Counts an announcement as a report of the instance. */
   void OnAlive(const InstanceId& aInstance,
                Incarnation aIncarnation,
                TimePoint aNow);
 
-  /** Every entry that may still serve has aRevision in force. */
+  /** Whether every entry that may still serve has aRevision in force. */
   bool InForce(Index aRevision, TimePoint aNow) const;
 
-  /** No entry sends new work to the instance, and none is under way. */
+  /** Whether no entry sends new work to the instance and none is in flight. */
   bool IsEmpty(const fleet::Instance& aInstance, TimePoint aNow) const;
 
   bool IsAlive(const outcome::EntryId& aEntry, TimePoint aNow) const;
   std::vector<EntryStatus> LiveEntries(TimePoint aNow) const;
-  std::size_t LiveCount(TimePoint aNow) const;
+  std::size_t CountLiveEntries(TimePoint aNow) const;
 
-  /** Upstreams whose announcements stopped, unless so many fell silent at
-   * once that the silence is ours. */
+  /** Returns upstreams that have stopped reporting, or none if so many are
+   * unresponsive at once that this replica is probably cut off itself. */
   std::vector<InstanceId> FindLost(
     const std::map<InstanceId, fleet::Instance>& aInstances,
     TimePoint aNow) const;
@@ -98,13 +100,14 @@
 
 private:
   Duration LeaseWithDrift() const;
-  TimePoint LastHeard(const fleet::Instance& aInstance) const;
+  TimePoint LastReportAt(const fleet::Instance& aInstance) const;
 
   Options m_options;
-  TimePoint m_since;
+  TimePoint m_leaderSince;
   std::map<outcome::EntryId, EntryStatus> m_entries;
-  std::unordered_map<std::uint64_t, TimePoint> m_heard;
-  /** Until then, work of vanished entries may be running somewhere. */
+  std::unordered_map<std::uint64_t, TimePoint> m_lastReportAt;
+  /** Time until which work of entries whose lease has ended may still be
+   * running. */
   TimePoint m_orphansUntil;
 };
 
--- a/src/membership/registry.cpp
+++ b/src/membership/registry.cpp
@@ -15,10 +15,10 @@
 void
 Registry::Reset(TimePoint aNow)
 {
-  m_since = aNow;
+  m_leaderSince = aNow;
   m_entries.clear();
-  m_heard.clear();
-  // Entries that vanished under the old leader are not known here.
+  m_lastReportAt.clear();
+  // Entries whose lease ended under the previous leader are not known here.
   m_orphansUntil = aNow + LeaseWithDrift() + m_options.m_orphanGrace;
 }
 
@@ -32,15 +32,15 @@
 Registry::OnSync(const SyncReport& aReport, TimePoint aNow)
 {
   for (const std::uint64_t key : aReport.m_renewals) {
-    m_heard[key] = aNow;
+    m_lastReportAt[key] = aNow;
   }
-  // A planned stop: the entry has no work left and will take none.
+  // The entry stops as planned: it has no work left and accepts none.
   if (aReport.m_leaving) {
     m_entries.erase(aReport.m_entry);
     return;
   }
-  // An entry that restarted is a new one; its former life holds its lease
-  // until it runs out, since it may only be frozen.
+  // A restarted entry counts as a new one. Its previous incarnation keeps its
+  // lease until it expires, since the process may only be suspended.
   EntryStatus& status = m_entries[aReport.m_entry];
   status.m_entry = aReport.m_entry;
   status.m_zone = aReport.m_zone;
@@ -48,8 +48,8 @@
   status.m_revision = std::max(status.m_revision, aReport.m_revision);
   status.m_leaseEnd = aNow + LeaseWithDrift();
   status.m_inFlight.clear();
-  for (const InFlight& one : aReport.m_inFlight) {
-    status.m_inFlight[one.m_instance] = one.m_count;
+  for (const InFlight& inFlight : aReport.m_inFlight) {
+    status.m_inFlight[inFlight.m_instance] = inFlight.m_count;
   }
   for (auto it = m_entries.begin(); it != m_entries.end();) {
     const TimePoint end = it->second.m_leaseEnd;
@@ -69,19 +69,20 @@
                   Incarnation aIncarnation,
                   TimePoint aNow)
 {
-  m_heard[RenewalKey(aInstance, aIncarnation)] = aNow;
+  m_lastReportAt[RenewalKey(aInstance, aIncarnation)] = aNow;
 }
 
 bool
 Registry::InForce(Index aRevision, TimePoint aNow) const
 {
-  if (aNow < m_since + LeaseWithDrift()) {
+  if (aNow < m_leaderSince + LeaseWithDrift()) {
     return false;
   }
-  return std::all_of(m_entries.begin(), m_entries.end(), [&](const auto& aOne) {
-    const EntryStatus& entry = aOne.second;
-    return entry.m_leaseEnd < aNow || entry.m_revision >= aRevision;
-  });
+  return std::all_of(
+    m_entries.begin(), m_entries.end(), [&](const auto& aEntry) {
+      const EntryStatus& entry = aEntry.second;
+      return entry.m_leaseEnd < aNow || entry.m_revision >= aRevision;
+    });
 }
 
 bool
@@ -91,16 +92,19 @@
     return false;
   }
   const InstanceId& id = aInstance.m_announced.m_id;
-  return std::all_of(m_entries.begin(), m_entries.end(), [&](const auto& aOne) {
-    const EntryStatus& entry = aOne.second;
-    // An entry whose lease ran out sends nothing new, but what it sent may
-    // still run: its last word counts until the grace is over.
-    const bool vanished = entry.m_leaseEnd + m_options.m_orphanGrace < aNow;
-    const auto found = entry.m_inFlight.find(id);
-    const bool idle = found == entry.m_inFlight.end() || found->second == 0;
-    const bool silent = entry.m_leaseEnd < aNow;
-    return vanished || (idle && !silent);
-  });
+  return std::all_of(
+    m_entries.begin(), m_entries.end(), [&](const auto& aEntry) {
+      const EntryStatus& entry = aEntry.second;
+      // An entry whose lease has ended sends no new work, but work it sent
+      // before may still run: its last report counts until the grace period is
+      // over.
+      const bool isGraceOver =
+        entry.m_leaseEnd + m_options.m_orphanGrace < aNow;
+      const auto found = entry.m_inFlight.find(id);
+      const bool isIdle = found == entry.m_inFlight.end() || found->second == 0;
+      const bool isLeaseOver = entry.m_leaseEnd < aNow;
+      return isGraceOver || (isIdle && !isLeaseOver);
+    });
 }
 
 bool
@@ -108,7 +112,7 @@
 {
   const auto found = m_entries.find(aEntry);
   if (found == m_entries.end()) {
-    return aNow < m_since + LeaseWithDrift();
+    return aNow < m_leaderSince + LeaseWithDrift();
   }
   return found->second.m_leaseEnd >= aNow;
 }
@@ -126,20 +130,21 @@
 }
 
 std::size_t
-Registry::LiveCount(TimePoint aNow) const
+Registry::CountLiveEntries(TimePoint aNow) const
 {
   return std::count_if(
-    m_entries.begin(), m_entries.end(), [&](const auto& aOne) {
-      return aOne.second.m_leaseEnd >= aNow;
+    m_entries.begin(), m_entries.end(), [&](const auto& aEntry) {
+      return aEntry.second.m_leaseEnd >= aNow;
     });
 }
 
 TimePoint
-Registry::LastHeard(const fleet::Instance& aInstance) const
+Registry::LastReportAt(const fleet::Instance& aInstance) const
 {
-  const auto found = m_heard.find(RenewalKey(
+  const auto found = m_lastReportAt.find(RenewalKey(
     aInstance.m_announced.m_id, aInstance.m_announced.m_incarnation));
-  return found == m_heard.end() ? m_since : std::max(m_since, found->second);
+  return found == m_lastReportAt.end() ? m_leaderSince
+                                       : std::max(m_leaderSince, found->second);
 }
 
 std::vector<InstanceId>
@@ -147,24 +152,25 @@
                    TimePoint aNow) const
 {
   std::vector<InstanceId> lost;
-  std::size_t counted = 0;
+  std::size_t monitored = 0;
   for (const auto& [id, instance] : aInstances) {
     if (instance.m_lost) {
       continue;
     }
-    ++counted;
-    if (LastHeard(instance) + m_options.m_upstreamTtl < aNow) {
+    ++monitored;
+    if (LastReportAt(instance) + m_options.m_upstreamTtl < aNow) {
       lost.push_back(id);
     }
   }
-  // Upstreams of all zones rarely die together; a cut between us and them
-  // looks the same. Dropping them all would turn the cut into an outage, and
-  // entries find dead ones by themselves.
-  constexpr std::size_t kTooFewToJudge = 4;
-  const bool many =
+  // Upstreams of all zones rarely fail together, and a network partition
+  // between this replica and them looks the same. Marking all of them as lost
+  // would turn the partition into an outage, and entries detect failed
+  // upstreams by themselves.
+  constexpr std::size_t kMinUpstreams = 4;
+  const bool isOverThreshold =
     lost.size() * 100 >
-    counted * static_cast<std::size_t>(m_options.m_suspectSelfPercent);
-  if (counted >= kTooFewToJudge && many) {
+    monitored * static_cast<std::size_t>(m_options.m_selfPartitionedPercent);
+  if (monitored >= kMinUpstreams && isOverThreshold) {
     return {};
   }
   return lost;
--- a/tests/unit/membership/registry_test.cpp
+++ b/tests/unit/membership/registry_test.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr TimePoint kStart{ std::chrono::hours{ 1 } };
-const outcome::EntryId kOne{ InstanceId{ "e1" }, Incarnation{ 1 } };
-const outcome::EntryId kTwo{ InstanceId{ "e2" }, Incarnation{ 1 } };
-constexpr Duration kPastLease = Millis{ 2000 };
-constexpr Duration kPastOrphans = Millis{ 8000 };
+const outcome::EntryId kEntry{ InstanceId{ "e1" }, Incarnation{ 1 } };
+const outcome::EntryId kOtherEntry{ InstanceId{ "e2" }, Incarnation{ 1 } };
+constexpr Duration kAfterLease = Millis{ 2000 };
+constexpr Duration kAfterOrphanGrace = Millis{ 8000 };
 
 } // namespace
 
@@ -36,7 +36,7 @@
     m_registry.OnSync(report, aNow);
   }
 
-  fleet::Instance Leaving(std::uint64_t aModified)
+  fleet::Instance LeavingInstance(std::uint64_t aModified)
   {
     fleet::Instance instance;
     instance.m_announced.m_id = InstanceId{ "w" };
@@ -44,7 +44,7 @@
     return instance;
   }
 
-  std::map<InstanceId, fleet::Instance> Fleet(int aCount)
+  std::map<InstanceId, fleet::Instance> MakeFleet(int aCount)
   {
     std::map<InstanceId, fleet::Instance> fleet;
     for (int i = 0; i < aCount; ++i) {
@@ -59,75 +59,75 @@
   Registry m_registry{ Options{} };
 };
 
-// A new leader knows no entry. One that it has not heard from may still serve
-// what the old leader gave it, until its lease must have run out.
+// A new leader knows no entry. An entry that has not reported to it may still
+// serve the previous leader's state until its lease has certainly ended.
 TEST(Registry, NewLeader_WithinOneLease_ClaimsNothingInForce)
 {
-  Sync(kOne, 10, kStart + Millis{ 100 });
+  Sync(kEntry, 10, kStart + Millis{ 100 });
   CHECK_FALSE(m_registry.InForce(Index{ 5 }, kStart + Millis{ 1000 }));
-  Sync(kOne, 10, kStart + kPastLease);
-  CHECK(m_registry.InForce(Index{ 5 }, kStart + kPastLease));
+  Sync(kEntry, 10, kStart + kAfterLease);
+  CHECK(m_registry.InForce(Index{ 5 }, kStart + kAfterLease));
 }
 
 TEST(Registry, Entry_LaggingAlive_KeepsChangeFromBeingInForce)
 {
-  const TimePoint now = kStart + kPastLease;
-  Sync(kOne, 10, now);
-  Sync(kTwo, 9, now);
+  const TimePoint now = kStart + kAfterLease;
+  Sync(kEntry, 10, now);
+  Sync(kOtherEntry, 9, now);
   CHECK_FALSE(m_registry.InForce(Index{ 10 }, now));
-  Sync(kTwo, 10, now);
+  Sync(kOtherEntry, 10, now);
   CHECK(m_registry.InForce(Index{ 10 }, now));
 }
 
-TEST(Registry, Entry_Silent_StopsCountingOnlyAfterItsLease)
+TEST(Registry, Entry_Unresponsive_CountsUntilItsLeaseEnds)
 {
-  const TimePoint now = kStart + kPastLease;
-  Sync(kOne, 10, now);
-  Sync(kTwo, 9, now);
+  const TimePoint now = kStart + kAfterLease;
+  Sync(kEntry, 10, now);
+  Sync(kOtherEntry, 9, now);
   CHECK_FALSE(m_registry.InForce(Index{ 10 }, now + Millis{ 1500 }));
-  Sync(kOne, 10, now + Millis{ 1700 });
+  Sync(kEntry, 10, now + Millis{ 1700 });
   CHECK(m_registry.InForce(Index{ 10 }, now + Millis{ 1700 }));
 }
 
 TEST(Registry, Drain_WorkUnderWay_IsNotEmpty)
 {
-  const TimePoint now = kStart + kPastOrphans;
-  Sync(kOne, 10, now, 1);
-  CHECK_FALSE(m_registry.IsEmpty(Leaving(10), now));
-  Sync(kOne, 10, now, 0);
-  CHECK(m_registry.IsEmpty(Leaving(10), now));
-  CHECK_FALSE(m_registry.IsEmpty(Leaving(11), now));
+  const TimePoint now = kStart + kAfterOrphanGrace;
+  Sync(kEntry, 10, now, 1);
+  CHECK_FALSE(m_registry.IsEmpty(LeavingInstance(10), now));
+  Sync(kEntry, 10, now, 0);
+  CHECK(m_registry.IsEmpty(LeavingInstance(10), now));
+  CHECK_FALSE(m_registry.IsEmpty(LeavingInstance(11), now));
 }
 
-// An entry vanishes while its request runs at the instance. Its lease ends, so
-// it sends nothing new, but what it sent may run on.
-TEST(Registry, Drain_EntryVanishedWithWork_WaitsOutTheGrace)
+// An entry is lost while its request runs at the instance. Its lease ends, so
+// it sends no new work, but the request may still be running.
+TEST(Registry, Drain_EntryLostWithWork_WaitsForOrphanGrace)
 {
-  const TimePoint now = kStart + kPastOrphans;
-  Sync(kOne, 10, now);
-  Sync(kTwo, 10, now, 1);
-  const TimePoint gone = now + Millis{ 3000 };
-  Sync(kOne, 10, gone);
-  CHECK_FALSE(m_registry.IsEmpty(Leaving(10), gone));
-  const TimePoint late = now + kPastOrphans;
-  Sync(kOne, 10, late);
-  CHECK(m_registry.IsEmpty(Leaving(10), late));
+  const TimePoint now = kStart + kAfterOrphanGrace;
+  Sync(kEntry, 10, now);
+  Sync(kOtherEntry, 10, now, 1);
+  const TimePoint leaseOver = now + Millis{ 3000 };
+  Sync(kEntry, 10, leaseOver);
+  CHECK_FALSE(m_registry.IsEmpty(LeavingInstance(10), leaseOver));
+  const TimePoint graceOver = now + kAfterOrphanGrace;
+  Sync(kEntry, 10, graceOver);
+  CHECK(m_registry.IsEmpty(LeavingInstance(10), graceOver));
 }
 
 TEST(Registry, Entry_LeavingByPlan_IsForgottenAtOnce)
 {
-  const TimePoint now = kStart + kPastLease;
-  Sync(kOne, 9, now);
-  SyncReport goodbye;
-  goodbye.m_entry = kOne;
-  goodbye.m_leaving = true;
-  m_registry.OnSync(goodbye, now);
+  const TimePoint now = kStart + kAfterLease;
+  Sync(kEntry, 9, now);
+  SyncReport leavingReport;
+  leavingReport.m_entry = kEntry;
+  leavingReport.m_leaving = true;
+  m_registry.OnSync(leavingReport, now);
   CHECK(m_registry.InForce(Index{ 10 }, now));
 }
 
-TEST(Registry, SilentUpstream_OthersHeard_IsLost)
+TEST(Registry, UnresponsiveUpstream_OthersReport_IsLost)
 {
-  const auto fleet = Fleet(6);
+  const auto fleet = MakeFleet(6);
   const TimePoint now = kStart + std::chrono::seconds{ 10 };
   for (int i = 1; i < 6; ++i) {
     m_registry.OnAlive(
@@ -138,18 +138,19 @@
   CHECK(lost[0] == InstanceId{ "w0" });
 }
 
-// Most upstreams fall silent at once: more likely we are the ones cut off.
-TEST(Registry, MostUpstreamsSilentAtOnce_NobodyIsDropped)
+// If most upstreams are unresponsive at once, this replica is more likely cut
+// off itself.
+TEST(Registry, MostUpstreamsUnresponsiveAtOnce_NoneIsLost)
 {
-  const auto fleet = Fleet(6);
+  const auto fleet = MakeFleet(6);
   const TimePoint now = kStart + std::chrono::seconds{ 10 };
   m_registry.OnAlive(InstanceId{ "w0" }, Incarnation{ 1 }, now);
   LONGS_EQUAL(0, m_registry.FindLost(fleet, now).size());
 }
 
-TEST(Registry, EarlierLife_Renewed_DoesNotKeepNewOneAlive)
+TEST(Registry, EarlierIncarnation_Renewed_DoesNotKeepLaterOneAlive)
 {
-  auto fleet = Fleet(6);
+  auto fleet = MakeFleet(6);
   fleet[InstanceId{ "w0" }].m_announced.m_incarnation = Incarnation{ 2 };
   const TimePoint now = kStart + std::chrono::seconds{ 10 };
   for (int i = 0; i < 6; ++i) {
