--- a/include/bamboostile/jobs/book.h
+++ b/include/bamboostile/jobs/book.h
@@ -38,22 +38,23 @@
   RunEnd m_how = RunEnd::kDone;
   std::string m_checkpoint;
   WallTime m_at;
-  /** Of a run that ended with its worker. */
+  /** Set if the run ended because its worker was lost. */
   CrashEvidence m_evidence = CrashEvidence::kNone;
   InstanceId m_lostInstance{};
-  /** Done, as was heard after the run had been given up. */
+  /** The run was reported as done after the system had ended it. */
   bool m_isLate = false;
 };
 
-/** A long-running task has been at work for long. */
+/** Marks a long-running task's run as stable: it has run for so long that the
+ * loss of its worker says nothing about the task. */
 struct SettleRun
 {
   TaskRef m_task;
   RunNumber m_run;
 };
 
-/** Names the life that a run is in. Only of a run on record under a worker's id
- * alone, as earlier versions kept it. */
+/** Sets the worker incarnation of a run that an earlier version recorded with
+ * the worker's id only. */
 struct AdoptRun
 {
   TaskRef m_task;
@@ -61,7 +62,7 @@
   WorkerLife m_worker;
 };
 
-/** Ends a job that cannot be completed. */
+/** Fails a job that cannot be completed. */
 struct FailJob
 {
   JobId m_job;
@@ -69,7 +70,8 @@
   WallTime m_at;
 };
 
-/** Drops ended jobs whose state callers need no longer be able to fetch. */
+/** Removes jobs that ended before the given time; callers can no longer query
+ * them. */
 struct ForgetEnded
 {
   WallTime m_before;
@@ -84,18 +86,18 @@
                             SettleRun,
                             AdoptRun>;
 
-/** One entry of the log; a sync of the disk carries all of it. */
+/** The changes of one log entry, made durable by a single disk sync. */
 struct Batch
 {
   std::vector<Change> m_changes;
 };
 
-/** What became of the first Submit or Cancel of a batch. */
+/** Outcome of the first Submit or Cancel in a batch. */
 enum class CallOutcome : std::uint8_t
 {
   kNone,
   kAccepted,
-  /** The same job is there already. */
+  /** A job with this id already exists. */
   kRepeated,
   kUnknownJob,
   kCancelled,
@@ -106,15 +108,16 @@
   CallOutcome m_outcome = CallOutcome::kNone;
 };
 
-/** How often tasks of a queue may fail; asked while applying. */
+/** Returns how often a task of the queue may fail. Called while a batch is
+ * applied. */
 using AttemptLimit = std::function<std::uint32_t(const QueueId&)>;
 
 /**
  * @brief The replicated state of jobs, tasks and runs.
  *
- * Deterministic: replicas that applied the same batches are equal. A change
- * that no longer fits (a start of a task that runs, an end of an earlier run)
- * does nothing, so commands may be proposed from a state that has moved on.
+ * Deterministic: replicas that applied the same batches have equal state. A
+ * change that no longer applies (a start of a running task, an end of an
+ * earlier run) is ignored, so changes may be proposed from a stale state.
  */
 class Book
 {
@@ -122,70 +125,72 @@
   BatchReply Apply(const Batch& aBatch, const AttemptLimit& aLimit);
 
   const Job* Find(const JobId& aId) const;
-  /** Jobs that are active or still have runs under way, in order of
+  /** Jobs that are active or still have running tasks, in order of
    * acceptance. */
   const std::map<std::uint64_t, JobId>& Open() const { return m_open; }
   const std::unordered_map<JobId, Job>& Jobs() const { return m_jobs; }
-  /** Tasks that run, or may run, on a worker. */
+  /** Tasks that are running, or may be running, by worker incarnation. */
   const std::unordered_map<WorkerLife, std::vector<TaskRef>>& Placed() const
   {
-    return m_placed;
+    return m_tasksByWorker;
   }
   const Task* FindTask(const TaskRef& aTask) const;
-  /** Of a task that exists; of a gang, those of all its members. */
+  /** The worker losses of an existing task; for a gang, those of all its
+   * members. */
   std::vector<WorkerLoss> LossesOf(const TaskRef& aTask) const;
-  /** The run was given up, and its task is not done yet: if the run was done,
-   * so is the task, whether or not it has been started again. */
+  /** Whether the system has ended this run while its task is not done yet. A
+   * late report that the run is done then completes the task, whether or not
+   * the task has been started again. */
   bool CountsLate(const TaskRef& aTask, RunNumber aRun) const;
   bool AreOneGang(const TaskRef& aLeft, const TaskRef& aRight) const;
-  /** Tasks of active jobs under which workers were lost. */
-  const std::set<TaskRef>& LostWithWorkers() const { return m_lost; }
+  /** Tasks of active jobs that were running on workers that were lost. */
+  const std::set<TaskRef>& LostWithWorkers() const { return m_tasksWithLosses; }
   bool HasLosses(const JobId& aJob) const;
-  /** Some task's next run, or the one under way, is a trial. */
+  /** Whether any task's next or current run is an isolated run. */
   bool HasSuspects() const;
-  /** Accepted jobs without a due time of which no task has started. */
+  /** Number of accepted jobs without a due time that have no started task. */
   std::uint64_t Pending(const QueueId& aQueue) const;
 
-  /** All steps that this one waits for are done. */
+  /** Whether all steps that this step depends on are done. */
   static bool IsTurn(const Occurrence& aOccurrence, const StepSpec& aStep);
   static Occurrence MakeOccurrence(const JobSpec& aSpec);
 
 private:
-  friend struct BookCodec;
+  friend struct JobTableCodec;
 
-  CallOutcome On(const Submit& aSubmit, const AttemptLimit&);
-  CallOutcome On(const Cancel& aCancel, const AttemptLimit&);
-  CallOutcome On(const StartRun& aStart, const AttemptLimit&);
-  CallOutcome On(const EndRun& aEnd, const AttemptLimit& aLimit);
-  CallOutcome On(const FailJob& aFail, const AttemptLimit&);
-  CallOutcome On(const ForgetEnded& aForget, const AttemptLimit&);
-  CallOutcome On(const SettleRun& aSettle, const AttemptLimit&);
-  CallOutcome On(const AdoptRun& aAdopt, const AttemptLimit&);
+  CallOutcome ApplyChange(const Submit& aSubmit, const AttemptLimit&);
+  CallOutcome ApplyChange(const Cancel& aCancel, const AttemptLimit&);
+  CallOutcome ApplyChange(const StartRun& aStart, const AttemptLimit&);
+  CallOutcome ApplyChange(const EndRun& aEnd, const AttemptLimit& aLimit);
+  CallOutcome ApplyChange(const FailJob& aFail, const AttemptLimit&);
+  CallOutcome ApplyChange(const ForgetEnded& aRemoval, const AttemptLimit&);
+  CallOutcome ApplyChange(const SettleRun& aMark, const AttemptLimit&);
+  CallOutcome ApplyChange(const AdoptRun& aChange, const AttemptLimit&);
 
   Job* FindJob(const JobId& aId);
-  Task* FindTaskToChange(const TaskRef& aTask);
-  void Unplace(const WorkerLife& aWorker, const TaskRef& aTask);
+  Task* FindMutableTask(const TaskRef& aTask);
+  void RemoveFromWorker(const WorkerLife& aWorker, const TaskRef& aTask);
   void Finish(Job& aJob, JobState aState, WallTime aAt);
   void MarkStarted(Job& aJob);
-  void WaitAgain(Job& aJob);
+  void MarkPendingIfNoProgress(Job& aJob);
   void CloseIfIdle(const Job& aJob);
-  /** Waits again, if it runs. */
+  /** Returns a running task to the waiting phase. */
   void StopRunning(Job& aJob, const TaskRef& aTask);
   void MarkDone(Job& aJob, const TaskRef& aTask);
-  void FailIfSpent(Job& aJob,
-                   const EndRun& aEnd,
-                   const StepRun& aStep,
-                   const AttemptLimit& aLimit);
+  void FailIfAttemptsExhausted(Job& aJob,
+                               const EndRun& aEnd,
+                               const StepRun& aStep,
+                               const AttemptLimit& aLimit);
   void AddLoss(Job& aJob, const EndRun& aEnd, StepRun& aStep);
-  /** Derived from m_jobs; made anew after a snapshot was read. */
-  void Reindex();
+  /** Rebuilds the state derived from m_jobs after a snapshot was read. */
+  void RebuildIndexes();
 
   std::unordered_map<JobId, Job> m_jobs;
   std::uint64_t m_nextOrder = 1;
   std::map<std::uint64_t, JobId> m_open;
-  std::unordered_map<WorkerLife, std::vector<TaskRef>> m_placed;
+  std::unordered_map<WorkerLife, std::vector<TaskRef>> m_tasksByWorker;
   std::unordered_map<QueueId, std::uint64_t> m_pending;
-  std::set<TaskRef> m_lost;
+  std::set<TaskRef> m_tasksWithLosses;
 };
 
 std::string EncodeBatch(const Batch& aBatch);
--- a/include/bamboostile/jobs/calls.h
+++ b/include/bamboostile/jobs/calls.h
@@ -7,21 +7,22 @@
 enum class CallKind
 {
   kSubmit,
-  /** The state of a job, or of the whole queue. */
+  /** Queries the state of a job or of the whole queue. */
   kLook,
   kCancel,
 };
 
 const char* Describe(CallKind aKind) noexcept;
 
-/** A call of a caller of a queue, as an entry took it. */
+/** A caller's call to a queue, as an entry received it. */
 struct QueueCall
 {
   CallKind m_kind = CallKind::kLook;
   std::string m_host;
-  /** The queue's prefix and the job's id, or the prefix alone. */
+  /** The queue's path prefix, followed by the job's id if the call names one.
+   */
   std::string m_path;
-  /** Of a submission. */
+  /** Set for kSubmit only. */
   JobSpec m_spec;
 };
 
@@ -29,20 +30,21 @@
 {
   kOk,
   kNotLeader,
-  /** No table of routes is in force yet. */
+  /** No route table has been applied yet. */
   kNoRoutes,
   kNoQueue,
   kNoJob,
-  /** Not accepted, and never will be by this call. */
+  /** Not accepted; this call will not be accepted later either. */
   kRefused,
-  /** Proposed, but its fate is not known; the same call again finds out. */
+  /** Proposed, but not known to be committed; repeating the call returns the
+   * outcome. */
   kUndecided,
   kBadJob,
 };
 
 const char* Describe(QueueOutcome aOutcome) noexcept;
 
-/** What callers see of a job. */
+/** Job state as reported to callers. */
 enum class JobView
 {
   kQueued,
@@ -57,10 +59,10 @@
 struct QueueReply
 {
   QueueOutcome m_outcome = QueueOutcome::kNotLeader;
-  /** Of a replica that does not lead: who does, as far as it knows. */
+  /** Address of the leader if this replica is not the leader and knows it. */
   std::string m_leaderAddress;
   JobView m_state = JobView::kQueued;
-  /** Set where the path named a queue. */
+  /** Number of pending jobs; set if the path matches a queue. */
   std::optional<std::uint64_t> m_pending;
   Millis m_retryAfter{};
   std::string m_detail;
--- a/include/bamboostile/jobs/crash_loop.h
+++ b/include/bamboostile/jobs/crash_loop.h
@@ -6,49 +6,52 @@
 
 /**
  * @file
- * @brief Tells a task that crashes the workers that start it from those that
- * were beside it, and bounds how many workers it can take.
+ * @brief Distinguishes a task that crashes its workers from tasks that were
+ * running on the same workers, and bounds how many workers it can crash.
  *
  * A task that had just been started when its worker was lost is a suspect. Its
- * next run is a trial: on a worker to which nothing else is started. Two
- * workers that crash in trials, alone, prove it. Evidence in doubt does not, up
- * to a bound that no sound task reaches.
+ * next run is an isolated run: nothing else is started on its worker. A task is
+ * a proven crasher once two workers have crashed in its isolated runs with no
+ * other explanation. Ambiguous losses do not prove it until their number
+ * reaches a limit that no healthy task reaches.
  */
 
-/** The losses of a task; of all members, one for each run, for a gang. */
+/** Returns the losses of a task; for a gang, those of all members, reduced to
+ * one loss for each run. */
 std::vector<WorkerLoss> LossesOf(const StepSpec& aSpec,
                                  const StepRun& aStep,
                                  std::uint32_t aIndex);
 
-/** The next run is a trial. */
+/** Whether the task's next run must be an isolated run. */
 bool IsSuspect(const std::vector<WorkerLoss>& aLosses);
 
-/** No loss has singled the task out yet: it may be on trial beside others of
- * which the same is true. */
+/** Whether no loss points to this task in particular yet. Such a suspect may
+ * share its isolated run's worker with other suspects of this kind. */
 bool MayBeTriedTogether(const std::vector<WorkerLoss>& aLosses);
 
-/** The trial lasts for the whole run, not only until the run is reported. */
+/** Whether isolation lasts for the whole run and not only until a report
+ * confirms the run. */
 bool IsTriedThroughout(const std::vector<WorkerLoss>& aLosses);
 
-/** The next trial waits until no other worker is being lost. */
+/** Whether the next isolated run waits until no other worker is being lost. */
 bool NeedsCalm(const std::vector<WorkerLoss>& aLosses);
 
-/** Whether a worker of the instance is among those lost. */
+/** Whether one of the lost workers ran on the instance. */
 bool WasLostOn(const std::vector<WorkerLoss>& aLosses,
                const InstanceId& aInstance);
 
-/** On how many instances workers were lost. */
+/** Returns the number of distinct instances on which workers were lost. */
 std::size_t CountInstances(const std::vector<WorkerLoss>& aLosses);
 
-/** The task must not start again. */
+/** Whether the task must not be started again. */
 bool IsProven(const std::vector<WorkerLoss>& aLosses);
 
-/** Between the end of the last run and the next trial; grows with each loss,
- * the same on all replicas. */
+/** Returns the delay between the end of the last run and the next isolated run.
+ * It grows with each loss and is the same on all replicas. */
 Duration RetryDelay(const TaskRef& aTask,
                     const std::vector<WorkerLoss>& aLosses);
 
-/** "crashed 2 workers: w1 (run 1), w2 (run 2)". */
+/** Formats losses as "crashed 2 workers: w1 (run 1), w2 (run 2)". */
 std::string DescribeLosses(const std::vector<WorkerLoss>& aLosses);
 
 } // namespace bamboostile::jobs
--- a/include/bamboostile/jobs/model.h
+++ b/include/bamboostile/jobs/model.h
@@ -15,7 +15,7 @@
 using JobId = Strong<struct JobIdTag, std::string>;
 using QueueId = Strong<struct QueueIdTag, std::string>;
 using ImageId = Strong<struct ImageIdTag, std::string>;
-/** Numbers the starts of one task from 1. */
+/** Number of a run within its task, counted from 1. */
 using RunNumber = Strong<struct RunNumberTag, std::uint32_t>;
 
 } // namespace bamboostile
@@ -34,35 +34,36 @@
 struct StepSpec
 {
   std::uint32_t m_count = 0;
-  /** Of each task. */
+  /** Resources that each task needs. */
   Resources m_needs;
-  /** The caller's guess of a task's duration. */
+  /** The caller's estimate of a task's duration. */
   Millis m_estimate{};
-  /** Earlier steps that must be done before. */
+  /** Indexes of earlier steps that must be done before this step starts. */
   std::vector<std::uint32_t> m_dependsOn;
   bool m_savesProgress = false;
-  /** All tasks run at the same time or not at all. */
+  /** All tasks run at the same time, or none runs. */
   bool m_gang = false;
   bool m_sameRack = false;
   /** Copies of a task may run in parallel. */
   bool m_speculative = false;
   /** Runs until the job is cancelled. */
   bool m_longRunning = false;
-  /** Uses what other tasks leave over; its CPU is not counted. */
+  /** Uses CPU that other tasks leave idle; reserves none of its own. */
   bool m_fills = false;
   std::string m_requiredLabel;
-  /** Where the data is; tasks are slower on other racks. */
+  /** The rack that holds the input data; tasks are slower on other racks. */
   RackId m_preferredRack;
-  /** Tasks of this step on one worker; 0 for any number. */
+  /** Maximum number of this step's tasks on one worker; 0 for no limit. */
   std::uint32_t m_maxPerWorker = 0;
   ImageId m_image;
-  /** Tail of its users' response times that must be kept; 0 for none. */
+  /** Target for the tail of the users' response times; 0 for no target. */
   Millis m_latencyTarget{};
-  /** Tasks of a long-running step that the system may take away at once. */
+  /** Maximum number of a long-running step's tasks that the system may disrupt
+   * at the same time. */
   std::optional<std::uint32_t> m_disruptionBudget;
 
-  /** What each task takes of a worker's CPU, in thousandths of a core; tasks
-   * that fill take none of their own. */
+  /** CPU that each task reserves on a worker, in thousandths of a core; 0 for
+   * best-effort tasks. */
   std::int64_t CountedCpu() const { return m_fills ? 0 : m_needs.m_cpuMillis; }
 
   bool operator==(const StepSpec&) const = default;
@@ -70,10 +71,10 @@
 
 struct JobSpec
 {
-  /** Opaque; handed to the workers as it is. */
+  /** Opaque data, passed to the workers unchanged. */
   std::string m_payload;
   std::vector<StepSpec> m_steps;
-  /** 0 for a job that runs once, at once. */
+  /** Number of occurrences; 0 for a job that runs once, immediately. */
   std::uint32_t m_repeatCount = 0;
   WallTime m_startAt;
   Millis m_interval{};
@@ -98,26 +99,27 @@
   kDone,
 };
 
-/** What the loss of a worker says about a task that it ran. Values are kept in
- * logs. */
+/** What the loss of a worker indicates about a task that it ran. The values are
+ * stored in logs. */
 enum class CrashEvidence : std::uint8_t
 {
   kNone = 0,
-  /** The task was at work there, perhaps beside the one that is to blame. */
+  /** The task was running there; another task may have caused the crash. */
   kRunning = 1,
-  /** It had just been started there. */
+  /** The task had just been started there. */
   kStarting = 2,
-  /** It was a suspect, and nothing else explains the loss. */
+  /** The task was a suspect, and nothing else explains the loss. */
   kAlone = 3,
-  /** It was at work there, and other workers were lost at about that time. */
+  /** The task was running there, and other workers were lost at about the same
+   * time. */
   kShared = 4,
 };
 
-/** A worker that was lost with a task on it, for no reason known. */
+/** The loss, for an unknown reason, of a worker that was running a task. */
 struct WorkerLoss
 {
   WorkerLife m_worker;
-  /** Empty where the worker was never heard. */
+  /** Empty if the worker never reported. */
   InstanceId m_instance;
   RunNumber m_run;
   CrashEvidence m_evidence = CrashEvidence::kNone;
@@ -129,12 +131,12 @@
   TaskPhase m_phase = TaskPhase::kWaiting;
   RunNumber m_lastRun;
   std::uint16_t m_failures = 0;
-  /** Where the last run is or was. */
+  /** The worker of the last run. */
   WorkerLife m_worker;
   std::string m_checkpoint;
   std::vector<WorkerLoss> m_losses;
-  /** Long-running: the run has been at work for so long that the loss of its
-   * worker says nothing about it. */
+  /** Set for a long-running task whose run has lasted so long that the loss of
+   * its worker says nothing about the task. */
   bool m_settled = false;
 };
 
@@ -173,16 +175,16 @@
   JobState m_state = JobState::kActive;
   WallTime m_acceptedAt;
   WallTime m_endedAt;
-  /** Why it failed. */
+  /** Why the job failed. */
   std::string m_reason;
   /** Rank in order of acceptance. */
   std::uint64_t m_order = 0;
-  /** A run of it is under way, or has got somewhere. */
+  /** Whether a task is running or has made progress. */
   bool m_started = false;
-  /** Runs under way, over all occurrences. */
+  /** Number of running tasks in all occurrences. */
   std::uint32_t m_running = 0;
   std::uint32_t m_occurrencesDone = 0;
-  /** Those that are due or begun; made when first needed. */
+  /** Occurrences that are due or started, created when first needed. */
   std::map<std::uint32_t, Occurrence> m_occurrences;
 
   std::uint32_t OccurrenceCount() const
@@ -191,21 +193,21 @@
   }
 };
 
-/** How a run ended, as its worker or the system says. */
+/** Why a run ended, as decided by its worker or the system. */
 enum class RunEnd : std::uint8_t
 {
   kDone,
-  /** By its own fault or the worker's; counts as an attempt. */
+  /** Failed because of the task or the worker; counts as an attempt. */
   kFailed,
   kStopped,
   kLeaseExpired,
-  /** Another member of its gang ended. */
+  /** Another member of the task's gang ended. */
   kGangBroken,
-  /** Waited in vain for the other members of its gang. */
+  /** The other members of the task's gang did not start in time. */
   kGangIncomplete,
   /** The worker did not start it. */
   kRefused,
-  /** Its worker is gone. */
+  /** The worker was lost. */
   kWorkerLost,
 };
 
--- a/include/bamboostile/jobs/worker_life.h
+++ b/include/bamboostile/jobs/worker_life.h
@@ -8,24 +8,24 @@
 
 namespace bamboostile {
 
-/** What a worker calls itself; it may start again under the same id. */
+/** Id that a worker reports; a restarted worker may reuse it. */
 using WorkerId = Strong<struct WorkerIdTag, std::string>;
-/** Time of day, in ms since 1970. It may jump: only for due times, records
- * and what must survive a restart, never for leases. */
+/** Wall-clock time in ms since 1970. It may jump, so it is used only for due
+ * times, records and values that must survive a restart, never for leases. */
 using WallTime = Strong<struct WallTimeTag, std::int64_t>;
 
 /**
- * @brief One life of a worker process, from its start to its end.
+ * @brief One incarnation of a worker process, from its start to its end.
  *
- * Whatever a worker was given, or has said, belongs to the life and not to the
- * id: a process that starts again holds and knows nothing of before.
+ * Tasks assigned to a worker and reports from it belong to the incarnation and
+ * not to the id: a restarted process keeps neither tasks nor state.
  */
 struct WorkerLife
 {
   WorkerId m_id;
-  /** By the worker's own time of day; 0 where it does not say. It tells lives
-   * of one id apart. Which of them is later does not follow from it alone, as
-   * that clock may have been set back between them. */
+  /** Start time by the worker's own wall clock; 0 if not reported. It
+   * distinguishes incarnations of one id but does not order them, since that
+   * clock may have been set back between two starts. */
   WallTime m_startedAt{};
 
   bool SaysStart() const { return m_startedAt != WallTime{}; }
@@ -38,9 +38,13 @@
 template<>
 struct std::hash<bamboostile::WorkerLife>
 {
-  std::size_t operator()(const bamboostile::WorkerLife& aLife) const
+  std::size_t operator()(const bamboostile::WorkerLife& aIncarnation) const
   {
-    const auto startedAt = static_cast<std::uint64_t>(aLife.m_startedAt.Get());
-    return bamboostile::StableHash{}.Add(aLife.m_id.Get()).Add(startedAt).Get();
+    const auto startedAt =
+      static_cast<std::uint64_t>(aIncarnation.m_startedAt.Get());
+    return bamboostile::StableHash{}
+      .Add(aIncarnation.m_id.Get())
+      .Add(startedAt)
+      .Get();
   }
 };
--- a/src/jobs/book.cpp
+++ b/src/jobs/book.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** As the reason why a job failed has it. */
+/** Formats a task's name for the reason of a failed job. */
 std::string
 NameOf(const TaskRef& aTask)
 {
@@ -65,8 +65,9 @@
 {
   BatchReply reply;
   for (const Change& change : aBatch.m_changes) {
-    const CallOutcome outcome =
-      std::visit([&](const auto& aOne) { return On(aOne, aLimit); }, change);
+    const CallOutcome outcome = std::visit(
+      [&](const auto& aChange) { return ApplyChange(aChange, aLimit); },
+      change);
     if (reply.m_outcome == CallOutcome::kNone) {
       reply.m_outcome = outcome;
     }
@@ -89,7 +90,7 @@
 }
 
 Task*
-Book::FindTaskToChange(const TaskRef& aTask)
+Book::FindMutableTask(const TaskRef& aTask)
 {
   return const_cast<Task*>(std::as_const(*this).FindTask(aTask));
 }
@@ -113,7 +114,7 @@
 std::vector<WorkerLoss>
 Book::LossesOf(const TaskRef& aTask) const
 {
-  if (m_lost.empty()) {
+  if (m_tasksWithLosses.empty()) {
     return {};
   }
   const Job& job = *Find(aTask.m_job);
@@ -126,16 +127,17 @@
 bool
 Book::HasLosses(const JobId& aJob) const
 {
-  const auto first = m_lost.lower_bound(TaskRef{ aJob });
-  return first != m_lost.end() && first->m_job == aJob;
+  const auto first = m_tasksWithLosses.lower_bound(TaskRef{ aJob });
+  return first != m_tasksWithLosses.end() && first->m_job == aJob;
 }
 
 bool
 Book::HasSuspects() const
 {
-  return std::any_of(m_lost.begin(), m_lost.end(), [&](const TaskRef& aTask) {
-    return IsSuspect(LossesOf(aTask));
-  });
+  return std::any_of(
+    m_tasksWithLosses.begin(),
+    m_tasksWithLosses.end(),
+    [&](const TaskRef& aTask) { return IsSuspect(LossesOf(aTask)); });
 }
 
 bool
@@ -146,10 +148,10 @@
     return false;
   }
   const Job& job = *Find(aTask.m_job);
-  const bool isGivenUp =
+  const bool hasRunEnded =
     aRun < task->m_lastRun ||
     (aRun == task->m_lastRun && task->m_phase == TaskPhase::kWaiting);
-  return isGivenUp && job.m_state == JobState::kActive &&
+  return hasRunEnded && job.m_state == JobState::kActive &&
          !job.m_spec.m_steps[aTask.m_step].m_longRunning;
 }
 
@@ -189,7 +191,7 @@
 }
 
 CallOutcome
-Book::On(const Submit& aSubmit, const AttemptLimit& /*aLimit*/)
+Book::ApplyChange(const Submit& aSubmit, const AttemptLimit& /*aLimit*/)
 {
   const auto [found, isNew] = m_jobs.try_emplace(aSubmit.m_job);
   if (!isNew) {
@@ -210,7 +212,7 @@
 }
 
 CallOutcome
-Book::On(const Cancel& aCancel, const AttemptLimit& /*aLimit*/)
+Book::ApplyChange(const Cancel& aCancel, const AttemptLimit& /*aLimit*/)
 {
   Job* job = FindJob(aCancel.m_job);
   if (job == nullptr) {
@@ -223,7 +225,7 @@
 }
 
 CallOutcome
-Book::On(const StartRun& aStart, const AttemptLimit& /*aLimit*/)
+Book::ApplyChange(const StartRun& aStart, const AttemptLimit& /*aLimit*/)
 {
   Job* job = FindJob(aStart.m_task.m_job);
   if (job == nullptr || job->m_state != JobState::kActive ||
@@ -249,7 +251,7 @@
   task.m_settled = false;
   ++step.m_running;
   ++job->m_running;
-  m_placed[aStart.m_worker].push_back(aStart.m_task);
+  m_tasksByWorker[aStart.m_worker].push_back(aStart.m_task);
   MarkStarted(*job);
   return CallOutcome::kNone;
 }
@@ -267,15 +269,15 @@
 }
 
 void
-Book::Unplace(const WorkerLife& aWorker, const TaskRef& aTask)
+Book::RemoveFromWorker(const WorkerLife& aWorker, const TaskRef& aTask)
 {
-  const auto placed = m_placed.find(aWorker);
-  if (placed == m_placed.end()) {
+  const auto placed = m_tasksByWorker.find(aWorker);
+  if (placed == m_tasksByWorker.end()) {
     return;
   }
   std::erase(placed->second, aTask);
   if (placed->second.empty()) {
-    m_placed.erase(placed);
+    m_tasksByWorker.erase(placed);
   }
 }
 
@@ -291,7 +293,7 @@
   task.m_phase = TaskPhase::kWaiting;
   --step.m_running;
   --aJob.m_running;
-  Unplace(task.m_worker, aTask);
+  RemoveFromWorker(task.m_worker, aTask);
 }
 
 void
@@ -307,7 +309,7 @@
   task.m_phase = TaskPhase::kDone;
   task.m_checkpoint.clear();
   task.m_losses.clear();
-  m_lost.erase(aTask);
+  m_tasksWithLosses.erase(aTask);
   ++step.m_done;
   if (!step.IsDone()) {
     return;
@@ -319,7 +321,7 @@
 }
 
 CallOutcome
-Book::On(const EndRun& aEnd, const AttemptLimit& aLimit)
+Book::ApplyChange(const EndRun& aEnd, const AttemptLimit& aLimit)
 {
   Job* job = FindJob(aEnd.m_task.m_job);
   const Task* known = FindTask(aEnd.m_task);
@@ -344,8 +346,8 @@
   }
   if (aEnd.m_how == RunEnd::kDone && !spec.m_longRunning) {
     MarkDone(*job, aEnd.m_task);
-    // Members of a gang are done together; the other ends may come later, or
-    // never, if a member's worker is lost in between.
+    // All members of a gang are done together; the ends of the other members
+    // may arrive later, or never if a member's worker is lost in between.
     for (std::uint32_t i = 0; spec.m_gang && i < step.m_tasks.size(); ++i) {
       TaskRef member = aEnd.m_task;
       member.m_index = i;
@@ -354,7 +356,7 @@
   } else if (aEnd.m_how == RunEnd::kFailed) {
     ++task.m_failures;
     if (!spec.m_longRunning) {
-      FailIfSpent(*job, aEnd, step, aLimit);
+      FailIfAttemptsExhausted(*job, aEnd, step, aLimit);
     }
   } else if (aEnd.m_how == RunEnd::kWorkerLost &&
              aEnd.m_evidence != CrashEvidence::kNone) {
@@ -365,19 +367,19 @@
     Finish(*job, JobState::kCompleted, aEnd.m_at);
   }
   if (job->m_running == 0 && !spec.m_longRunning) {
-    WaitAgain(*job);
+    MarkPendingIfNoProgress(*job);
   }
   CloseIfIdle(*job);
   return CallOutcome::kNone;
 }
 
-// A run that a worker never began leaves its job where it was. Counted as
-// started for good, jobs whose first workers were lost would wait unseen:
-// callers would hear that none waits.
+// A job whose runs made no progress counts as pending again. If it stayed
+// started, jobs whose first workers were lost would not be counted as pending,
+// and callers would be told that no job waits.
 void
-Book::WaitAgain(Job& aJob)
+Book::MarkPendingIfNoProgress(Job& aJob)
 {
-  const auto gotSomewhere = [](const Task& aTask) {
+  const auto hasProgress = [](const Task& aTask) {
     return aTask.m_phase == TaskPhase::kDone || aTask.m_failures > 0 ||
            !aTask.m_checkpoint.empty();
   };
@@ -386,7 +388,7 @@
     return;
   }
   for (const StepRun& step : aJob.m_occurrences.at(0).m_steps) {
-    if (std::any_of(step.m_tasks.begin(), step.m_tasks.end(), gotSomewhere)) {
+    if (std::any_of(step.m_tasks.begin(), step.m_tasks.end(), hasProgress)) {
       return;
     }
   }
@@ -395,10 +397,10 @@
 }
 
 void
-Book::FailIfSpent(Job& aJob,
-                  const EndRun& aEnd,
-                  const StepRun& aStep,
-                  const AttemptLimit& aLimit)
+Book::FailIfAttemptsExhausted(Job& aJob,
+                              const EndRun& aEnd,
+                              const StepRun& aStep,
+                              const AttemptLimit& aLimit)
 {
   std::uint32_t failures = aStep.m_tasks[aEnd.m_task.m_index].m_failures;
   if (aJob.m_spec.m_steps[aEnd.m_task.m_step].m_gang) {
@@ -415,8 +417,9 @@
   Finish(aJob, JobState::kFailed, aEnd.m_at);
 }
 
-// Whoever lost the worker has weighed what else explains the loss; what follows
-// from it is decided here, so that it survives its leader.
+// The leader that detected the loss has classified the evidence. The decision
+// that follows is made here, in the replicated state, so that it survives a
+// change of leader.
 void
 Book::AddLoss(Job& aJob, const EndRun& aEnd, StepRun& aStep)
 {
@@ -429,7 +432,7 @@
                             aEnd.m_run,
                             aEnd.m_evidence,
                             aEnd.m_at });
-  m_lost.insert(aEnd.m_task);
+  m_tasksWithLosses.insert(aEnd.m_task);
   const auto losses = jobs::LossesOf(
     aJob.m_spec.m_steps[aEnd.m_task.m_step], aStep, aEnd.m_task.m_index);
   if (IsProven(losses)) {
@@ -439,34 +442,34 @@
 }
 
 CallOutcome
-Book::On(const SettleRun& aSettle, const AttemptLimit& /*aLimit*/)
+Book::ApplyChange(const SettleRun& aMark, const AttemptLimit& /*aLimit*/)
 {
-  Task* task = FindTaskToChange(aSettle.m_task);
+  Task* task = FindMutableTask(aMark.m_task);
   if (task != nullptr && task->m_phase == TaskPhase::kRunning &&
-      task->m_lastRun == aSettle.m_run) {
+      task->m_lastRun == aMark.m_run) {
     task->m_settled = true;
     task->m_losses.clear();
-    m_lost.erase(aSettle.m_task);
+    m_tasksWithLosses.erase(aMark.m_task);
   }
   return CallOutcome::kNone;
 }
 
 CallOutcome
-Book::On(const AdoptRun& aAdopt, const AttemptLimit& /*aLimit*/)
+Book::ApplyChange(const AdoptRun& aChange, const AttemptLimit& /*aLimit*/)
 {
-  Task* task = FindTaskToChange(aAdopt.m_task);
+  Task* task = FindMutableTask(aChange.m_task);
   if (task != nullptr && task->m_phase == TaskPhase::kRunning &&
-      task->m_lastRun == aAdopt.m_run && !task->m_worker.SaysStart() &&
-      task->m_worker.m_id == aAdopt.m_worker.m_id) {
-    Unplace(task->m_worker, aAdopt.m_task);
-    task->m_worker = aAdopt.m_worker;
-    m_placed[task->m_worker].push_back(aAdopt.m_task);
+      task->m_lastRun == aChange.m_run && !task->m_worker.SaysStart() &&
+      task->m_worker.m_id == aChange.m_worker.m_id) {
+    RemoveFromWorker(task->m_worker, aChange.m_task);
+    task->m_worker = aChange.m_worker;
+    m_tasksByWorker[task->m_worker].push_back(aChange.m_task);
   }
   return CallOutcome::kNone;
 }
 
 CallOutcome
-Book::On(const FailJob& aFail, const AttemptLimit& /*aLimit*/)
+Book::ApplyChange(const FailJob& aFail, const AttemptLimit& /*aLimit*/)
 {
   Job* job = FindJob(aFail.m_job);
   if (job != nullptr && job->m_state == JobState::kActive) {
@@ -481,11 +484,12 @@
 {
   aJob.m_state = aState;
   aJob.m_endedAt = aAt;
-  const auto first = m_lost.lower_bound(TaskRef{ aJob.m_id });
-  const auto last = std::find_if(first, m_lost.end(), [&](const auto& aTask) {
-    return aTask.m_job != aJob.m_id;
-  });
-  m_lost.erase(first, last);
+  const auto first = m_tasksWithLosses.lower_bound(TaskRef{ aJob.m_id });
+  const auto last =
+    std::find_if(first, m_tasksWithLosses.end(), [&](const auto& aTask) {
+      return aTask.m_job != aJob.m_id;
+    });
+  m_tasksWithLosses.erase(first, last);
   if (!aJob.m_started && aJob.m_spec.m_repeatCount == 0) {
     --m_pending[aJob.m_queue];
   }
@@ -501,23 +505,23 @@
 }
 
 CallOutcome
-Book::On(const ForgetEnded& aForget, const AttemptLimit& /*aLimit*/)
+Book::ApplyChange(const ForgetEnded& aRemoval, const AttemptLimit& /*aLimit*/)
 {
   std::erase_if(m_jobs, [&](const auto& aEntry) {
     const Job& job = aEntry.second;
     return job.m_state != JobState::kActive && job.m_running == 0 &&
-           job.m_endedAt < aForget.m_before;
+           job.m_endedAt < aRemoval.m_before;
   });
   return CallOutcome::kNone;
 }
 
 void
-Book::Reindex()
+Book::RebuildIndexes()
 {
   m_open.clear();
-  m_placed.clear();
+  m_tasksByWorker.clear();
   m_pending.clear();
-  m_lost.clear();
+  m_tasksWithLosses.clear();
   for (auto& [id, job] : m_jobs) {
     job.m_running = 0;
     job.m_occurrencesDone = 0;
@@ -528,14 +532,15 @@
         for (std::uint32_t i = 0; i < step.m_tasks.size(); ++i) {
           const Task& task = step.m_tasks[i];
           if (!task.m_losses.empty() && job.m_state == JobState::kActive) {
-            m_lost.insert(TaskRef{ id, number, s, i });
+            m_tasksWithLosses.insert(TaskRef{ id, number, s, i });
           }
           if (task.m_phase == TaskPhase::kDone) {
             ++step.m_done;
           } else if (task.m_phase == TaskPhase::kRunning) {
             ++step.m_running;
             ++job.m_running;
-            m_placed[task.m_worker].push_back(TaskRef{ id, number, s, i });
+            m_tasksByWorker[task.m_worker].push_back(
+              TaskRef{ id, number, s, i });
           }
         }
         occurrence.m_stepsDone += step.IsDone() ? 1 : 0;
--- a/src/jobs/codec.cpp
+++ b/src/jobs/codec.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/** A snapshot of all jobs may hold more than Cap'n Proto reads by default. */
+/** Read limit; a snapshot of all jobs may exceed Cap'n Proto's default. */
 constexpr std::uint64_t kMaxWords = 512ULL * 1024 * 1024 / sizeof(capnp::word);
 
 std::string
@@ -25,7 +25,7 @@
   return { bytes.begin(), bytes.size() };
 }
 
-/** Reads a packed message; nothing where the bytes are damaged. */
+/** Reads a packed message; returns nullopt if the bytes are corrupt. */
 template<typename Schema, typename Fn>
 auto
 ReadPacked(const std::string& aBytes, Fn aRead)
@@ -62,7 +62,7 @@
 }
 
 WorkerLife
-ReadLife(capnp::Text::Reader aId, std::int64_t aStartedAtMs)
+ReadIncarnation(capnp::Text::Reader aId, std::int64_t aStartedAtMs)
 {
   return { WorkerId{ Text(aId) }, WallTime{ aStartedAtMs } };
 }
@@ -71,58 +71,59 @@
 Write(const Change& aChange, schema::Change::Builder aTo)
 {
   std::visit(Overloaded{
-               [&](const Submit& aOne) {
+               [&](const Submit& aSubmit) {
                  auto to = aTo.initSubmit();
-                 to.setJob(aOne.m_job.Get());
-                 to.setQueue(aOne.m_queue.Get());
-                 jobs::Write(aOne.m_spec, to.initSpec());
-                 to.setAtMs(aOne.m_at.Get());
+                 to.setJob(aSubmit.m_job.Get());
+                 to.setQueue(aSubmit.m_queue.Get());
+                 jobs::Write(aSubmit.m_spec, to.initSpec());
+                 to.setAtMs(aSubmit.m_at.Get());
                },
-               [&](const Cancel& aOne) {
+               [&](const Cancel& aCancel) {
                  auto to = aTo.initCancel();
-                 to.setCancelled(aOne.m_job.Get());
-                 to.setCancelAtMs(aOne.m_at.Get());
+                 to.setCancelled(aCancel.m_job.Get());
+                 to.setCancelAtMs(aCancel.m_at.Get());
                },
-               [&](const StartRun& aOne) {
+               [&](const StartRun& aStart) {
                  auto to = aTo.initStart();
-                 Write(aOne.m_task, to.initTask());
-                 to.setRun(aOne.m_run.Get());
-                 to.setWorker(aOne.m_worker.m_id.Get());
-                 to.setWorkerStartedAtMs(aOne.m_worker.m_startedAt.Get());
+                 Write(aStart.m_task, to.initTask());
+                 to.setRun(aStart.m_run.Get());
+                 to.setWorker(aStart.m_worker.m_id.Get());
+                 to.setWorkerStartedAtMs(aStart.m_worker.m_startedAt.Get());
                },
-               [&](const EndRun& aOne) {
+               [&](const EndRun& aEnd) {
                  auto to = aTo.initEnd();
-                 Write(aOne.m_task, to.initEnded());
-                 to.setEndedRun(aOne.m_run.Get());
-                 to.setHow(static_cast<std::uint8_t>(aOne.m_how));
-                 to.setCheckpoint(aOne.m_checkpoint);
-                 to.setEndAtMs(aOne.m_at.Get());
-                 to.setLate(aOne.m_isLate);
-                 if (aOne.m_evidence != CrashEvidence::kNone) {
-                   to.setEvidence(static_cast<std::uint8_t>(aOne.m_evidence));
-                   to.setLostInstance(aOne.m_lostInstance.Get());
+                 Write(aEnd.m_task, to.initEnded());
+                 to.setEndedRun(aEnd.m_run.Get());
+                 to.setHow(static_cast<std::uint8_t>(aEnd.m_how));
+                 to.setCheckpoint(aEnd.m_checkpoint);
+                 to.setEndAtMs(aEnd.m_at.Get());
+                 to.setLate(aEnd.m_isLate);
+                 if (aEnd.m_evidence != CrashEvidence::kNone) {
+                   to.setEvidence(static_cast<std::uint8_t>(aEnd.m_evidence));
+                   to.setLostInstance(aEnd.m_lostInstance.Get());
                  }
                },
-               [&](const FailJob& aOne) {
+               [&](const FailJob& aFail) {
                  auto to = aTo.initFail();
-                 to.setFailed(aOne.m_job.Get());
-                 to.setReason(aOne.m_reason);
-                 to.setFailAtMs(aOne.m_at.Get());
+                 to.setFailed(aFail.m_job.Get());
+                 to.setReason(aFail.m_reason);
+                 to.setFailAtMs(aFail.m_at.Get());
                },
-               [&](const ForgetEnded& aOne) {
-                 aTo.initForget().setEndedBeforeMs(aOne.m_before.Get());
+               [&](const ForgetEnded& aRemoval) {
+                 aTo.initForget().setEndedBeforeMs(aRemoval.m_before.Get());
                },
-               [&](const SettleRun& aOne) {
+               [&](const SettleRun& aMark) {
                  auto to = aTo.initSettle();
-                 Write(aOne.m_task, to.initSettled());
-                 to.setSettledRun(aOne.m_run.Get());
+                 Write(aMark.m_task, to.initSettled());
+                 to.setSettledRun(aMark.m_run.Get());
                },
-               [&](const AdoptRun& aOne) {
+               [&](const AdoptRun& aSetIncarnation) {
                  auto to = aTo.initAdopt();
-                 Write(aOne.m_task, to.initAdopted());
-                 to.setAdoptedRun(aOne.m_run.Get());
-                 to.setAdopter(aOne.m_worker.m_id.Get());
-                 to.setAdopterStartedAtMs(aOne.m_worker.m_startedAt.Get());
+                 Write(aSetIncarnation.m_task, to.initAdopted());
+                 to.setAdoptedRun(aSetIncarnation.m_run.Get());
+                 to.setAdopter(aSetIncarnation.m_worker.m_id.Get());
+                 to.setAdopterStartedAtMs(
+                   aSetIncarnation.m_worker.m_startedAt.Get());
                },
              },
              aChange);
@@ -148,8 +149,8 @@
       const auto from = aFrom.getStart();
       return StartRun{ Read(from.getTask()),
                        RunNumber{ from.getRun() },
-                       ReadLife(from.getWorker(),
-                                from.getWorkerStartedAtMs()) };
+                       ReadIncarnation(from.getWorker(),
+                                       from.getWorkerStartedAtMs()) };
     }
     case schema::Change::END: {
       const auto from = aFrom.getEnd();
@@ -179,14 +180,15 @@
       const auto from = aFrom.getAdopt();
       return AdoptRun{ Read(from.getAdopted()),
                        RunNumber{ from.getAdoptedRun() },
-                       ReadLife(from.getAdopter(),
-                                from.getAdopterStartedAtMs()) };
+                       ReadIncarnation(from.getAdopter(),
+                                       from.getAdopterStartedAtMs()) };
     }
   }
   KJ_FAIL_REQUIRE("unknown kind of change");
 }
 
-// Hardly any task has losses, and a list that is not made takes no bytes.
+// Hardly any task has losses, and a list that is not initialized takes no
+// bytes.
 void
 WriteLosses(const std::vector<WorkerLoss>& aLosses,
             schema::TaskState::Builder aTo)
@@ -209,19 +211,20 @@
 ReadLosses(schema::TaskState::Reader aFrom)
 {
   std::vector<WorkerLoss> losses;
-  for (auto one : aFrom.getLosses()) {
-    losses.push_back({ ReadLife(one.getWorker(), one.getWorkerStartedAtMs()),
-                       InstanceId{ Text(one.getInstance()) },
-                       RunNumber{ one.getRun() },
-                       static_cast<CrashEvidence>(one.getEvidence()),
-                       WallTime{ one.getAtMs() } });
+  for (auto loss : aFrom.getLosses()) {
+    losses.push_back(
+      { ReadIncarnation(loss.getWorker(), loss.getWorkerStartedAtMs()),
+        InstanceId{ Text(loss.getInstance()) },
+        RunNumber{ loss.getRun() },
+        static_cast<CrashEvidence>(loss.getEvidence()),
+        WallTime{ loss.getAtMs() } });
   }
   return losses;
 }
 
 } // namespace
 
-struct BookCodec
+struct JobTableCodec
 {
   static void Write(const Job& aJob, schema::JobState::Builder aTo)
   {
@@ -275,29 +278,30 @@
       Occurrence& occurrence = job.m_occurrences[from.getNumber()];
       for (auto step : from.getSteps()) {
         StepRun& run = occurrence.m_steps.emplace_back();
-        for (auto one : step.getTasks()) {
+        for (auto taskState : step.getTasks()) {
           Task& task = run.m_tasks.emplace_back();
-          task.m_phase = static_cast<TaskPhase>(one.getPhase());
-          task.m_lastRun = RunNumber{ one.getLastRun() };
-          task.m_failures = one.getFailures();
-          task.m_worker = ReadLife(one.getWorker(), one.getWorkerStartedAtMs());
-          task.m_checkpoint = Text(one.getCheckpoint());
-          task.m_settled = one.getSettled();
-          task.m_losses = ReadLosses(one);
+          task.m_phase = static_cast<TaskPhase>(taskState.getPhase());
+          task.m_lastRun = RunNumber{ taskState.getLastRun() };
+          task.m_failures = taskState.getFailures();
+          task.m_worker = ReadIncarnation(taskState.getWorker(),
+                                          taskState.getWorkerStartedAtMs());
+          task.m_checkpoint = Text(taskState.getCheckpoint());
+          task.m_settled = taskState.getSettled();
+          task.m_losses = ReadLosses(taskState);
         }
       }
     }
     return job;
   }
 
-  static std::string Write(const Book& aBook)
+  static std::string Write(const Book& aJobTable)
   {
     capnp::MallocMessageBuilder message;
     auto root = message.initRoot<schema::Jobs>();
-    root.setNextOrder(aBook.m_nextOrder);
-    auto list = root.initJobs(static_cast<unsigned>(aBook.m_jobs.size()));
+    root.setNextOrder(aJobTable.m_nextOrder);
+    auto list = root.initJobs(static_cast<unsigned>(aJobTable.m_jobs.size()));
     unsigned at = 0;
-    for (const auto& [id, job] : aBook.m_jobs) {
+    for (const auto& [id, job] : aJobTable.m_jobs) {
       Write(job, list[at++]);
     }
     return ToBytes(message);
@@ -305,14 +309,14 @@
 
   static Book Read(schema::Jobs::Reader aFrom)
   {
-    Book book;
-    book.m_nextOrder = aFrom.getNextOrder();
-    for (auto one : aFrom.getJobs()) {
-      Job job = Read(one);
-      book.m_jobs.emplace(job.m_id, std::move(job));
+    Book jobTable;
+    jobTable.m_nextOrder = aFrom.getNextOrder();
+    for (auto jobState : aFrom.getJobs()) {
+      Job job = Read(jobState);
+      jobTable.m_jobs.emplace(job.m_id, std::move(job));
     }
-    book.Reindex();
-    return book;
+    jobTable.RebuildIndexes();
+    return jobTable;
   }
 };
 
@@ -341,16 +345,17 @@
 }
 
 std::string
-EncodeBook(const Book& aBook)
+EncodeBook(const Book& aJobTable)
 {
-  return BookCodec::Write(aBook);
+  return JobTableCodec::Write(aJobTable);
 }
 
 std::optional<Book>
 DecodeBook(const std::string& aBytes)
 {
-  return ReadPacked<schema::Jobs>(
-    aBytes, [](schema::Jobs::Reader aFrom) { return BookCodec::Read(aFrom); });
+  return ReadPacked<schema::Jobs>(aBytes, [](schema::Jobs::Reader aFrom) {
+    return JobTableCodec::Read(aFrom);
+  });
 }
 
 } // namespace bamboostile::jobs
--- a/src/jobs/crash_loop.cpp
+++ b/src/jobs/crash_loop.cpp
@@ -9,39 +9,44 @@
 
 namespace {
 
-/** A worker takes all that it runs with it, so one such loss says nothing, */
-constexpr std::size_t kRunningLossesOfSuspect = 2;
-/** and one that others share says even less; but tasks that crash their workers
- * at the same time hide behind each other. */
-constexpr std::size_t kLossesOfSuspect = 3;
-/** So many suspects may still be tried beside each other. */
-constexpr std::size_t kMostLossesTogether = 3;
-/** A worker may also crash by itself in a trial of a sound task. */
+/** Number of kRunning losses that make a task a suspect. One says nothing: a
+ * lost worker ends all tasks that it runs. */
+constexpr std::size_t kMinRunningLossesOfSuspect = 2;
+/** Number of losses of any kind that make a task a suspect. A concurrent loss
+ * says even less than one kRunning loss, but tasks that crash their workers at
+ * the same time hide each other. */
+constexpr std::size_t kMinLossesOfSuspect = 3;
+/** Maximum number of losses with which suspects may still share a worker. */
+constexpr std::size_t kMaxLossesIsolatedTogether = 3;
+/** Number of isolated losses that prove a crasher. One is not enough: a worker
+ * may crash by itself in an isolated run of a healthy task. */
 constexpr std::size_t kProofs = 2;
-/** From so many losses on, a trial waits until its evidence can be certain. */
-constexpr std::size_t kLossesUntilCalm = 3;
-/** With so many losses of any kind, one proof is enough. */
-constexpr std::size_t kLossesBesideOneProof = 5;
-/** And with so many at the start, the proof among them. */
-constexpr std::size_t kLossesAtStartBesideOneProof = 4;
-/** So many losses at the start need no proof: the last ones came although no
- * other worker was being lost when the trial began. */
-constexpr std::size_t kMostLossesAtStart = 5;
-constexpr std::size_t kMostDoublings = 3;
+/** Number of losses from which an isolated run waits for a quiet period, so
+ * that its evidence can be certain. */
+constexpr std::size_t kMinLossesForQuietPeriod = 3;
+/** Number of losses of any kind with which one proof is enough. */
+constexpr std::size_t kMinLossesWithOneProof = 5;
+/** Number of losses at the start, including the proof, with which one proof is
+ * enough. */
+constexpr std::size_t kMinLossesAtStartWithOneProof = 4;
+/** Number of losses at the start that need no proof: the last ones occurred
+ * although no other worker was being lost when the isolated run began. */
+constexpr std::size_t kMinLossesAtStartWithoutProof = 5;
+constexpr std::size_t kMaxDoublings = 3;
 constexpr Millis kFirstDelay{ 250 };
 
 std::size_t
 Count(const std::vector<WorkerLoss>& aLosses, CrashEvidence aEvidence)
 {
   return static_cast<std::size_t>(
-    std::count_if(aLosses.begin(), aLosses.end(), [&](const WorkerLoss& aOne) {
-      return aOne.m_evidence == aEvidence;
+    std::count_if(aLosses.begin(), aLosses.end(), [&](const WorkerLoss& aLoss) {
+      return aLoss.m_evidence == aEvidence;
     }));
 }
 
-/** Of losses that single no task out. */
+/** Counts the losses that do not point to one task. */
 std::size_t
-CountAtWork(const std::vector<WorkerLoss>& aLosses)
+CountRunningOrConcurrent(const std::vector<WorkerLoss>& aLosses)
 {
   return Count(aLosses, CrashEvidence::kRunning) +
          Count(aLosses, CrashEvidence::kShared);
@@ -80,8 +85,8 @@
   return "unknown";
 }
 
-// A gang starts as a whole, so the workers that one start of it takes are one
-// loss; counted singly, its first start might give it up.
+// A gang starts as a whole, so all workers lost in one of its runs count as one
+// loss. Counted separately, the losses of its first run could fail the job.
 std::vector<WorkerLoss>
 LossesOf(const StepSpec& aSpec, const StepRun& aStep, std::uint32_t aIndex)
 {
@@ -91,9 +96,9 @@
   std::vector<WorkerLoss> losses;
   for (const Task& member : aStep.m_tasks) {
     for (const WorkerLoss& loss : member.m_losses) {
-      const auto same =
-        std::find_if(losses.begin(), losses.end(), [&](const WorkerLoss& aOne) {
-          return aOne.m_run == loss.m_run;
+      const auto same = std::find_if(
+        losses.begin(), losses.end(), [&](const WorkerLoss& aLoss) {
+          return aLoss.m_run == loss.m_run;
         });
       if (same == losses.end()) {
         losses.push_back(loss);
@@ -119,41 +124,44 @@
 IsSuspect(const std::vector<WorkerLoss>& aLosses)
 {
   return CountAtStart(aLosses) > 0 ||
-         Count(aLosses, CrashEvidence::kRunning) >= kRunningLossesOfSuspect ||
-         aLosses.size() >= kLossesOfSuspect;
+         Count(aLosses, CrashEvidence::kRunning) >=
+           kMinRunningLossesOfSuspect ||
+         aLosses.size() >= kMinLossesOfSuspect;
 }
 
-// Every crash makes suspects of all that ran there for the second time. One
-// after the other they would wait for minutes beside idle workers. With four
-// losses the next one, in a trial by itself, is the proof.
+// Every crash makes a suspect of each task that loses a worker for the second
+// time. Isolated one after the other, the suspects would wait for minutes while
+// workers are idle. With four losses a task runs by itself, and the next loss
+// in that isolated run is the proof.
 bool
 MayBeTriedTogether(const std::vector<WorkerLoss>& aLosses)
 {
-  return IsSuspect(aLosses) && aLosses.size() <= kMostLossesTogether &&
-         CountAtWork(aLosses) == aLosses.size();
+  return IsSuspect(aLosses) && aLosses.size() <= kMaxLossesIsolatedTogether &&
+         CountRunningOrConcurrent(aLosses) == aLosses.size();
 }
 
-// One that had just been started when a worker was lost may also have been
-// beside a task that crashes its workers later, or be such a task itself.
+// A task that had just been started when its worker was lost may have shared
+// the worker with a task that crashes its workers later in the run, or may be
+// such a task itself.
 bool
 IsTriedThroughout(const std::vector<WorkerLoss>& aLosses)
 {
   return IsSuspect(aLosses) && (Count(aLosses, CrashEvidence::kStarting) == 0 ||
-                                aLosses.size() >= kLossesOfSuspect);
+                                aLosses.size() >= kMinLossesOfSuspect);
 }
 
 bool
 NeedsCalm(const std::vector<WorkerLoss>& aLosses)
 {
-  return aLosses.size() >= kLossesUntilCalm;
+  return aLosses.size() >= kMinLossesForQuietPeriod;
 }
 
 bool
 WasLostOn(const std::vector<WorkerLoss>& aLosses, const InstanceId& aInstance)
 {
   return std::any_of(
-    aLosses.begin(), aLosses.end(), [&](const WorkerLoss& aOne) {
-      return aOne.m_instance == aInstance;
+    aLosses.begin(), aLosses.end(), [&](const WorkerLoss& aLoss) {
+      return aLoss.m_instance == aInstance;
     });
 }
 
@@ -163,21 +171,21 @@
   const std::size_t proofs = Count(aLosses, CrashEvidence::kAlone);
   return proofs >= kProofs ||
          (proofs > 0 &&
-          (aLosses.size() >= kLossesBesideOneProof ||
-           CountAtStart(aLosses) >= kLossesAtStartBesideOneProof)) ||
-         CountAtStart(aLosses) >= kMostLossesAtStart;
+          (aLosses.size() >= kMinLossesWithOneProof ||
+           CountAtStart(aLosses) >= kMinLossesAtStartWithOneProof)) ||
+         CountAtStart(aLosses) >= kMinLossesAtStartWithoutProof;
 }
 
-// Jitter keeps the tasks that one crash made suspects from coming back at the
-// same moment.
+// Jitter prevents the tasks that became suspects in one crash from restarting
+// at the same moment.
 Duration
 RetryDelay(const TaskRef& aTask, const std::vector<WorkerLoss>& aLosses)
 {
   if (aLosses.empty()) {
     return Duration::zero();
   }
-  const std::size_t doublings = std::min(aLosses.size() - 1, kMostDoublings);
-  const Millis longest = kFirstDelay * (1 << doublings);
+  const std::size_t doublings = std::min(aLosses.size() - 1, kMaxDoublings);
+  const Millis maxDelay = kFirstDelay * (1 << doublings);
   const std::uint64_t seed = StableHash{}
                                .Add(aTask.m_job.Get())
                                .Add(std::uint64_t{ aTask.m_occurrence })
@@ -185,8 +193,8 @@
                                .Add(std::uint64_t{ aTask.m_index })
                                .Add(std::uint64_t{ aLosses.size() })
                                .Get();
-  const auto half = static_cast<std::uint64_t>(longest.count() / 2);
-  return longest / 2 + Millis{ static_cast<std::int64_t>(seed % half) };
+  const auto half = static_cast<std::uint64_t>(maxDelay.count() / 2);
+  return maxDelay / 2 + Millis{ static_cast<std::int64_t>(seed % half) };
 }
 
 std::string
--- a/tests/unit/jobs/book_test.cpp
+++ b/tests/unit/jobs/book_test.cpp
@@ -6,7 +6,7 @@
 using namespace bamboostile::jobs;
 using namespace job_fixtures;
 
-TEST_GROUP(JobBook)
+TEST_GROUP(JobTable)
 {
   Fleet m_fleet;
 
@@ -16,7 +16,7 @@
   }
 };
 
-TEST(JobBook, SubmissionTwice_IsOneJob)
+TEST(JobTable, SubmissionTwice_IsOneJob)
 {
   m_fleet.Submit("a", Spec({ Step(2) }));
   m_fleet.Start(Ref("a"), "w1");
@@ -25,7 +25,7 @@
   CHECK(TaskOf(Ref("a")).m_phase == TaskPhase::kRunning);
 }
 
-TEST(JobBook, AllTasksDone_JobIsCompleted)
+TEST(JobTable, AllTasksDone_JobIsCompleted)
 {
   m_fleet.Submit("a", Spec({ Step(2) }));
   m_fleet.Start(Ref("a", 0), "w1");
@@ -38,9 +38,10 @@
   CHECK(m_fleet.Book().Open().empty());
 }
 
-// A worker repeats an end until it is noted, and an end of an earlier run can
-// arrive after the task was placed again; it must not end the later run.
-TEST(JobBook, EndOfEarlierRun_ChangesNothing)
+// A worker reports an end repeatedly until it is acknowledged, so the end of an
+// earlier run can arrive after the task was placed again. It must not end the
+// later run.
+TEST(JobTable, EndOfEarlierRun_ChangesNothing)
 {
   m_fleet.Submit("a", Spec({ Step(1) }));
   m_fleet.Start(Ref("a"), "w1");
@@ -51,7 +52,7 @@
   CHECK(m_fleet.StateOf("a") == JobState::kActive);
 }
 
-TEST(JobBook, StartOfRunningTask_ChangesNothing)
+TEST(JobTable, StartOfRunningTask_ChangesNothing)
 {
   m_fleet.Submit("a", Spec({ Step(1) }));
   m_fleet.Start(Ref("a"), "w1");
@@ -60,7 +61,7 @@
   LONGS_EQUAL(1, TaskOf(Ref("a")).m_lastRun.Get());
 }
 
-TEST(JobBook, AttemptsSpent_JobFailsWithReason)
+TEST(JobTable, AttemptsExhausted_JobFailsWithReason)
 {
   m_fleet.Submit("a", Spec({ Step(1) }));
   for (std::uint32_t run = 1; run <= 3; ++run) {
@@ -73,7 +74,7 @@
                m_fleet.Book().Find(JobId{ "a" })->m_reason);
 }
 
-TEST(JobBook, LostWorkers_CostNoAttempt)
+TEST(JobTable, LostWorkers_CostNoAttempt)
 {
   m_fleet.Submit("a", Spec({ Step(1) }));
   for (std::uint32_t run = 1; run <= 5; ++run) {
@@ -83,7 +84,7 @@
   CHECK(m_fleet.StateOf("a") == JobState::kActive);
 }
 
-TEST(JobBook, LongRunningTaskEndsInAnyWay_WaitsForNextRun)
+TEST(JobTable, LongRunningTaskEndsInAnyWay_WaitsForNextRun)
 {
   StepSpec step = Step(1);
   step.m_longRunning = true;
@@ -101,7 +102,7 @@
   CHECK(TaskOf(Ref("a")).m_phase == TaskPhase::kWaiting);
 }
 
-TEST(JobBook, CancelledJobWithRuns_StaysOpenUntilTheyEnd)
+TEST(JobTable, CancelledJobWithRuns_StaysOpenUntilTheyEnd)
 {
   m_fleet.Submit("a", Spec({ Step(1) }));
   m_fleet.Start(Ref("a"), "w1");
@@ -114,7 +115,7 @@
   CHECK(TaskOf(Ref("a")).m_phase == TaskPhase::kWaiting);
 }
 
-TEST(JobBook, OneMemberOfGangDone_AllAreDone)
+TEST(JobTable, OneMemberOfGangDone_AllAreDone)
 {
   StepSpec step = Step(3);
   step.m_gang = true;
@@ -127,7 +128,7 @@
   CHECK(m_fleet.Book().Placed().empty());
 }
 
-TEST(JobBook, FailuresOfGangMembers_CountTogether)
+TEST(JobTable, FailuresOfGangMembers_CountTogether)
 {
   StepSpec step = Step(3);
   step.m_gang = true;
@@ -140,7 +141,7 @@
   CHECK(m_fleet.StateOf("a") == JobState::kFailed);
 }
 
-TEST(JobBook, PendingJobs_AreThoseWithoutAStart)
+TEST(JobTable, PendingJobs_HaveNoStartedTask)
 {
   const QueueId queue{ "host/q/" };
   m_fleet.Submit("a", Spec({ Step(1) }));
@@ -152,10 +153,10 @@
   LONGS_EQUAL(0, m_fleet.Book().Pending(queue));
 }
 
-// Callers hear that no job waits while dozens do. Each had been placed on a
-// worker that was lost before it began, and a job that was placed once counted
-// as started for good.
-TEST(JobBook, OnlyRunNeverGotAnywhere_JobWaitsAgain)
+// Guards against callers being told that no job is pending while dozens are.
+// Each job had been placed on a worker that was lost before the run began, and
+// a job that was placed once stayed counted as started.
+TEST(JobTable, OnlyRunsMadeNoProgress_JobIsPendingAgain)
 {
   const QueueId queue{ "host/q/" };
   m_fleet.Submit("a", Spec({ Step(2) }));
@@ -171,7 +172,7 @@
   LONGS_EQUAL(0, m_fleet.Book().Pending(queue));
 }
 
-TEST(JobBook, ForgetEnded_KeepsActiveAndYoungJobs)
+TEST(JobTable, RemoveEndedJobs_KeepsActiveAndRecentJobs)
 {
   m_fleet.Submit("old", Spec({ Step(1) }));
   m_fleet.Submit("active", Spec({ Step(1) }));
@@ -183,7 +184,7 @@
   CHECK(m_fleet.Book().Find(JobId{ "active" }) != nullptr);
 }
 
-TEST(JobBook, SnapshotReadBack_GoesOnAlike)
+TEST(JobTable, DecodedSnapshot_AppliesLaterChanges)
 {
   StepSpec second = Step(2);
   second.m_dependsOn = { 0 };
@@ -199,25 +200,25 @@
   STRCMP_EQUAL("w2", copy->Jobs().Placed().begin()->first.m_id.Get().c_str());
   CHECK(copy->Jobs().Find(JobId{ "a" })->m_spec ==
         m_fleet.Book().Find(JobId{ "a" })->m_spec);
-  const Batch rest{
+  const Batch laterChanges{
     { EndRun{ Ref("a", 1, 1), RunNumber{ 1 }, RunEnd::kDone, "", {} },
       StartRun{ Ref("a", 0, 1), RunNumber{ 1 }, Life("w1") },
       EndRun{ Ref("a", 0, 1), RunNumber{ 1 }, RunEnd::kDone, "", WallTime{} } }
   };
-  copy->Apply(Index{ 100 }, rest);
+  copy->Apply(Index{ 100 }, laterChanges);
   CHECK(copy->Jobs().Find(JobId{ "a" })->m_state == JobState::kCompleted);
   LONGS_EQUAL(1, copy->Jobs().Pending(QueueId{ "host/q/" }));
 }
 
-TEST(JobBook, LateEnd_IsKeptInTheLog)
+TEST(JobTable, LateEnd_IsKeptInTheLog)
 {
   EndRun end{ Ref("a"), RunNumber{ 1 }, RunEnd::kDone, "", WallTime{ 1 } };
   end.m_isLate = true;
-  const auto read = DecodeBatch(EncodeBatch({ { end } }));
-  CHECK(std::get<EndRun>(read->m_changes.at(0)).m_isLate);
+  const auto decoded = DecodeBatch(EncodeBatch({ { end } }));
+  CHECK(std::get<EndRun>(decoded->m_changes.at(0)).m_isLate);
 }
 
-TEST(JobBook, DamagedBytes_AreNoBatch)
+TEST(JobTable, CorruptBytes_AreRejected)
 {
   const Batch batch{ { Cancel{ JobId{ "some job" }, WallTime{ 1 } } } };
   const std::string bytes = EncodeBatch(batch);
--- a/tests/unit/jobs/crash_loop_test.cpp
+++ b/tests/unit/jobs/crash_loop_test.cpp
@@ -43,8 +43,8 @@
     return losses;
   }
 
-  /** Starts the task and loses its worker. */
-  void Lose(const TaskRef& aTask, CrashEvidence aEvidence)
+  /** Starts the task on a new worker and reports that worker as lost. */
+  void StartAndLoseWorker(const TaskRef& aTask, CrashEvidence aEvidence)
   {
     m_fleet.Start(aTask, "w" + std::to_string(m_run + 1), m_run + 1);
     ++m_run;
@@ -58,14 +58,14 @@
   }
 };
 
-TEST(CrashLoop, TwoCrashesInTrials_JobFailsAndNamesTheWorkers)
+TEST(CrashLoop, TwoCrashesInIsolatedRuns_JobFailsAndNamesTheWorkers)
 {
   m_fleet.Submit("a", Spec({ Step(2) }));
-  Lose(Ref("a", 1), CrashEvidence::kStarting);
-  Lose(Ref("a", 1), CrashEvidence::kAlone);
+  StartAndLoseWorker(Ref("a", 1), CrashEvidence::kStarting);
+  StartAndLoseWorker(Ref("a", 1), CrashEvidence::kAlone);
   CHECK(m_fleet.StateOf("a") == JobState::kActive);
   LONGS_EQUAL(1, m_fleet.Book().LostWithWorkers().size());
-  Lose(Ref("a", 1), CrashEvidence::kAlone);
+  StartAndLoseWorker(Ref("a", 1), CrashEvidence::kAlone);
   CHECK(m_fleet.StateOf("a") == JobState::kFailed);
   CHECK_STRING("step 0 task 1 crashed 3 workers: w1 (run 1), w2 (run 2), w3 "
                "(run 3)",
@@ -73,18 +73,18 @@
   CHECK(m_fleet.Book().LostWithWorkers().empty());
 }
 
-// Guards against a sound task that is given up for the crashes of its
-// neighbours.
-TEST(CrashLoop, WorkersLostWhileTheTaskRan_NeverGiveItUp)
+// Guards against failing the job of a healthy task because of crashes that
+// other tasks on the same workers cause.
+TEST(CrashLoop, WorkersLostWhileTaskRan_NeverFailItsJob)
 {
   m_fleet.Submit("a", Spec({ Step(1) }));
   for (int i = 0; i < 20; ++i) {
-    Lose(Ref("a"), CrashEvidence::kRunning);
+    StartAndLoseWorker(Ref("a"), CrashEvidence::kRunning);
   }
   CHECK(m_fleet.StateOf("a") == JobState::kActive);
 }
 
-TEST(CrashLoop, LossesInDoubt_AreBoundedAllTheSame)
+TEST(CrashLoop, AmbiguousLosses_AreBounded)
 {
   using enum CrashEvidence;
   CHECK(!IsProven(Losses({ kStarting, kStarting, kStarting, kStarting })));
@@ -94,9 +94,9 @@
   CHECK(IsProven(Losses({ kRunning, kRunning, kStarting, kStarting, kAlone })));
 }
 
-// Guards against tasks that crash their workers at the same time, each of which
-// hides behind the others' crashes.
-TEST(CrashLoop, LossesThatOthersShare_MakeASuspectButProveNothing)
+// Guards against missing tasks that crash their workers at the same time: each
+// crash could be explained by the others.
+TEST(CrashLoop, ConcurrentLosses_MakeASuspectButProveNothing)
 {
   using enum CrashEvidence;
   CHECK(!IsSuspect(Losses({ kShared, kShared })));
@@ -107,14 +107,14 @@
   CHECK(!IsProven(Losses(std::vector(20, kShared))));
 }
 
-TEST(CrashLoop, StartsAndOneProof_JobIsGivenUpAtTheFourth)
+TEST(CrashLoop, LossesAtStartAndOneProof_FourthLossProvesACrasher)
 {
   using enum CrashEvidence;
   CHECK(!IsProven(Losses({ kStarting, kStarting, kAlone })));
   CHECK(IsProven(Losses({ kStarting, kStarting, kStarting, kAlone })));
 }
 
-TEST(CrashLoop, SuspectsAreTriedApart_OthersAreNot)
+TEST(CrashLoop, SuspectsAreIsolated_OthersAreNot)
 {
   using enum CrashEvidence;
   CHECK(!IsSuspect({}));
@@ -128,15 +128,15 @@
   CHECK(!WasLostOn(Losses({ kStarting }), InstanceId{ "j" }));
 }
 
-// Guards against a long-running task that is given up in the course of time,
-// as each of its workers is lost some day.
-TEST(CrashLoop, RunThatSettled_ClearsItsTask)
+// Guards against failing a long-running task's job after enough time, since
+// each of its workers is lost eventually.
+TEST(CrashLoop, StableRun_ClearsLossesOfItsTask)
 {
   StepSpec step = Step(1);
   step.m_longRunning = true;
   m_fleet.Submit("a", Spec({ step }));
-  Lose(Ref("a"), CrashEvidence::kStarting);
-  Lose(Ref("a"), CrashEvidence::kAlone);
+  StartAndLoseWorker(Ref("a"), CrashEvidence::kStarting);
+  StartAndLoseWorker(Ref("a"), CrashEvidence::kAlone);
   m_fleet.Start(Ref("a"), "w9", 3);
   m_fleet.Apply({ SettleRun{ Ref("a"), RunNumber{ 3 } } });
   CHECK(m_fleet.Book().FindTask(Ref("a"))->m_losses.empty());
@@ -149,35 +149,35 @@
 TEST(CrashLoop, RetryDelay_GrowsWithEachLossAndDiffersByTask)
 {
   using enum CrashEvidence;
-  const auto once = Losses({ kStarting });
-  const auto thrice = Losses({ kStarting, kStarting, kStarting });
+  const auto oneLoss = Losses({ kStarting });
+  const auto threeLosses = Losses({ kStarting, kStarting, kStarting });
   CHECK(RetryDelay(Ref("a"), {}) == Duration::zero());
-  CHECK(RetryDelay(Ref("a"), once) < RetryDelay(Ref("a"), thrice));
-  CHECK(RetryDelay(Ref("a"), once) != RetryDelay(Ref("b"), once));
-  CHECK(RetryDelay(Ref("a"), once) == RetryDelay(Ref("a"), once));
+  CHECK(RetryDelay(Ref("a"), oneLoss) < RetryDelay(Ref("a"), threeLosses));
+  CHECK(RetryDelay(Ref("a"), oneLoss) != RetryDelay(Ref("b"), oneLoss));
+  CHECK(RetryDelay(Ref("a"), oneLoss) == RetryDelay(Ref("a"), oneLoss));
   for (int i = 0; i < 100; ++i) {
-    const auto many = Losses(std::vector<CrashEvidence>(8, kStarting));
-    CHECK(RetryDelay(Ref("a", i), many) <= Millis{ 2000 });
+    const auto manyLosses = Losses(std::vector<CrashEvidence>(8, kStarting));
+    CHECK(RetryDelay(Ref("a", i), manyLosses) <= Millis{ 2000 });
   }
 }
 
-// Guards against a task that is done and counts as a suspect until its job
-// ends.
-TEST(CrashLoop, SuspectIsDone_NoLongerUnderSuspicion)
+// Guards against a completed task that remains a suspect until its job ends.
+TEST(CrashLoop, SuspectIsDone_IsNoLongerASuspect)
 {
   m_fleet.Submit("a", Spec({ Step(2) }));
-  Lose(Ref("a"), CrashEvidence::kStarting);
+  StartAndLoseWorker(Ref("a"), CrashEvidence::kStarting);
   m_fleet.Start(Ref("a"), "w2", 2);
   m_fleet.End(Ref("a"), RunEnd::kDone, 2);
   CHECK(m_fleet.Book().LostWithWorkers().empty());
 }
 
-// Guards against counts that are lost with a snapshot or a disk.
+// Guards against losing a task's crash evidence when a snapshot or the log is
+// read back.
 TEST(CrashLoop, SnapshotAndLogReadBack_KeepTheEvidence)
 {
   m_fleet.Submit("a", Spec({ Step(1) }));
-  Lose(Ref("a"), CrashEvidence::kStarting);
-  Lose(Ref("a"), CrashEvidence::kAlone);
+  StartAndLoseWorker(Ref("a"), CrashEvidence::kStarting);
+  StartAndLoseWorker(Ref("a"), CrashEvidence::kAlone);
   m_fleet.Restore();
   const auto& losses = m_fleet.Book().FindTask(Ref("a"))->m_losses;
   LONGS_EQUAL(2, losses.size());
@@ -195,8 +195,8 @@
   LONGS_EQUAL(4, std::get<SettleRun>(batch->m_changes[1]).m_run.Get());
 }
 
-// Guards against a group that cannot read its own log after an upgrade: these
-// bytes were written before there was evidence.
+// Guards against control replicas that cannot read their own log after an
+// upgrade: these bytes were written by a version without crash evidence.
 TEST(CrashLoop, LogAndSnapshotWithoutEvidence_AreRead)
 {
   const auto batch = DecodeBatch(
@@ -206,12 +206,12 @@
   CHECK(std::get<EndRun>(batch->m_changes[0]).m_how == RunEnd::kWorkerLost);
   CHECK(std::get<EndRun>(batch->m_changes[0]).m_evidence ==
         CrashEvidence::kNone);
-  const auto book = DecodeBook(FromHex(
+  const auto jobTable = DecodeBook(FromHex(
     "102f500101010211014f51040405000001010000010111111211111251100302115d0a"
     "115d170161017100021105121105570170510406043101e80301640003110d0411090a"
     "11090a11090a000351040101000011010f41040111011f51040102100111051211050a"
     "01770000"));
-  CHECK(book.has_value());
-  CHECK(book->FindTask(Ref("a"))->m_losses.empty());
-  LONGS_EQUAL(1, book->FindTask(Ref("a"))->m_lastRun.Get());
+  CHECK(jobTable.has_value());
+  CHECK(jobTable->FindTask(Ref("a"))->m_losses.empty());
+  LONGS_EQUAL(1, jobTable->FindTask(Ref("a"))->m_lastRun.Get());
 }
