--- a/include/bamboostile/wire/consensus_codec.h
+++ b/include/bamboostile/wire/consensus_codec.h
@@ -16,9 +16,9 @@
 void Write(const consensus::Message& aMessage, schema::Message::Builder aTo);
 consensus::Message Read(schema::Message::Reader aFrom);
 
-/** The bytes of one synced write: a Persist without its ticket. */
+/** Encodes one synced write to disk: a Persist without its ticket. */
 std::string EncodeFrame(const consensus::Persist& aPersist);
-/** Empty where the bytes are no frame. */
+/** Returns nullopt if the bytes are not a valid frame. */
 std::optional<consensus::Persist> DecodeFrame(std::string_view aBytes);
 
 } // namespace bamboostile::wire
--- a/include/bamboostile/wire/jobs_json.h
+++ b/include/bamboostile/wire/jobs_json.h
@@ -6,13 +6,15 @@
 
 namespace bamboostile::wire {
 
-/** The JSON of jobs and of workers' reports, as docs/INTERFACE.md has it. */
+/** Reads a job in the JSON format that docs/INTERFACE.md specifies. */
 std::optional<jobs::JobSpec> ReadJobSpec(const std::string& aBody,
                                          json::BadField& aBad);
-/** The life that says it ends now. */
+/** Reads the incarnation of a worker that reports its shutdown. */
 std::optional<WorkerLife> ReadWorkerLeave(const std::string& aWorker,
                                           const std::string& aBody,
                                           json::BadField& aBad);
+/** Reads a worker's report in the JSON format that docs/INTERFACE.md specifies.
+ */
 std::optional<placement::WorkerReport> ReadWorkerReport(
   const std::string& aWorker,
   const std::string& aBody,
--- a/include/bamboostile/wire/operator_codec.h
+++ b/include/bamboostile/wire/operator_codec.h
@@ -15,8 +15,8 @@
   std::string m_message;
 };
 
-/** Checks what the schema cannot: ids present and of a sound form. On failure
- * aError names the field. */
+/** Reads a call and checks what the schema cannot express: that ids are present
+ * and well-formed. On failure aError names the field. */
 std::optional<fleet::OperatorCall> Read(schema::OperatorCall::Reader aFrom,
                                         CallError& aError);
 void Write(const fleet::CallReply& aReply, schema::CallReply::Builder aTo);
--- a/src/wire/consensus_codec.cpp
+++ b/src/wire/consensus_codec.cpp
@@ -24,7 +24,7 @@
 using consensus::VoteReply;
 using consensus::VoteRequest;
 
-/** Snapshots of the whole state travel as one message. */
+/** Read limit; a snapshot of the whole state is sent as one message. */
 constexpr std::uint64_t kMaxWords = 64ULL * 1024 * 1024;
 
 TimePoint
@@ -279,35 +279,35 @@
 std::optional<consensus::Persist>
 DecodeFrame(std::string_view aBytes)
 {
-  // Cap'n Proto reads 64-bit words in place, so the bytes are moved to where
-  // they are aligned.
+  // Cap'n Proto reads 64-bit words in place, so the bytes are copied to an
+  // aligned buffer.
   const std::size_t count = aBytes.size() / sizeof(capnp::word);
   auto words = kj::heapArray<capnp::word>(count);
   std::copy_n(aBytes.data(),
               count * sizeof(capnp::word),
               reinterpret_cast<char*>(words.begin()));
   std::optional<consensus::Persist> persist;
-  const auto problem = kj::runCatchingExceptions([&]() {
+  const auto exception = kj::runCatchingExceptions([&]() {
     capnp::ReaderOptions options;
     options.traversalLimitInWords = kMaxWords;
     capnp::FlatArrayMessageReader reader(words, options);
     const auto frame = reader.getRoot<schema::Frame>();
-    consensus::Persist read;
+    consensus::Persist decoded;
     if (frame.getHasHardState()) {
       const auto from = frame.getHardState();
       consensus::HardState state{ Term{ from.getTerm() }, std::nullopt };
       if (from.getHasVote()) {
         state.m_votedFor = Read(from.getVotedFor());
       }
-      read.m_hardState = state;
+      decoded.m_hardState = state;
     }
     if (frame.getHasSnapshot()) {
-      read.m_snapshot = ReadSnapshot(frame.getSnapshot());
+      decoded.m_snapshot = ReadSnapshot(frame.getSnapshot());
     }
-    read.m_entries = ReadEntries(frame.getEntries());
-    persist = std::move(read);
+    decoded.m_entries = ReadEntries(frame.getEntries());
+    persist = std::move(decoded);
   });
-  return problem == nullptr ? persist : std::nullopt;
+  return exception == nullptr ? persist : std::nullopt;
 }
 
 } // namespace bamboostile::wire
--- a/src/wire/entry_codec.cpp
+++ b/src/wire/entry_codec.cpp
@@ -93,11 +93,11 @@
   aTo.setTicket(aFrom.m_ticket);
   aTo.setState(static_cast<std::uint8_t>(aFrom.m_state));
   if (aFrom.m_answer) {
-    // The answer takes the form it has in the log, so that control replicas
-    // never look inside.
-    outcome::Record carrier;
-    carrier.m_answer = aFrom.m_answer;
-    aTo.setAnswer(ToData(fleet::EncodeRecord(carrier)));
+    // The answer is sent in its log encoding, so that control replicas need not
+    // decode it.
+    outcome::Record record;
+    record.m_answer = aFrom.m_answer;
+    aTo.setAnswer(ToData(fleet::EncodeRecord(record)));
   }
 }
 
@@ -114,8 +114,8 @@
                  ? outcome::State::kUnknown
                  : static_cast<outcome::State>(aFrom.getState());
   if (aFrom.hasAnswer()) {
-    if (auto carrier = fleet::DecodeRecord(ToString(aFrom.getAnswer()))) {
-      to.m_answer = std::move(carrier->m_answer);
+    if (auto record = fleet::DecodeRecord(ToString(aFrom.getAnswer()))) {
+      to.m_answer = std::move(record->m_answer);
     }
   }
   return to;
--- a/src/wire/jobs_json.cpp
+++ b/src/wire/jobs_json.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxSteps = 64;
 constexpr std::uint32_t kMaxTasksOfStep = 10'000;
 
-constexpr std::array<std::pair<const char*, jobs::RunEnd>, 7> kEnds{ {
+constexpr std::array<std::pair<const char*, jobs::RunEnd>, 7> kRunEnds{ {
   { "done", jobs::RunEnd::kDone },
   { "failed", jobs::RunEnd::kFailed },
   { "stopped", jobs::RunEnd::kStopped },
@@ -84,16 +84,16 @@
 }
 
 WorkerLife
-ReadLife(const std::string& aWorker, const Json& aFrom)
+ReadIncarnation(const std::string& aWorker, const Json& aFrom)
 {
   return { WorkerId{ aWorker }, WallTime{ WholeAt(aFrom, "startedAtMs") } };
 }
 
 jobs::RunEnd
-ReadEnd(const std::string& aHow)
+ReadEnd(const std::string& aName)
 {
-  for (const auto& [name, end] : kEnds) {
-    if (aHow == name) {
+  for (const auto& [name, end] : kRunEnds) {
+    if (aName == name) {
       return end;
     }
   }
@@ -150,7 +150,7 @@
 {
   return Guarded(aBad, [&]() {
     const Json body = aBody.empty() ? Json::object() : ParseObject(aBody);
-    return ReadLife(aWorker, body);
+    return ReadIncarnation(aWorker, body);
   });
 }
 
@@ -162,7 +162,7 @@
   return Guarded(aBad, [&]() {
     const Json body = ParseObject(aBody);
     placement::WorkerReport report;
-    report.m_worker = ReadLife(aWorker, body);
+    report.m_worker = ReadIncarnation(aWorker, body);
     report.m_instance = InstanceId{ NameAt(body, "instance") };
     report.m_service = ServiceId{ NameAt(body, "service") };
     report.m_zone = ZoneId{ TextAt(body, "zone") };
--- a/src/wire/operator_codec.cpp
+++ b/src/wire/operator_codec.cpp
@@ -13,14 +13,14 @@
 bool
 IsIdCharacter(char aCharacter)
 {
-  const bool letter = (aCharacter >= 'a' && aCharacter <= 'z') ||
-                      (aCharacter >= 'A' && aCharacter <= 'Z');
-  const bool digit = aCharacter >= '0' && aCharacter <= '9';
-  return letter || digit || aCharacter == '-' || aCharacter == '_' ||
+  const bool isLetter = (aCharacter >= 'a' && aCharacter <= 'z') ||
+                        (aCharacter >= 'A' && aCharacter <= 'Z');
+  const bool isDigit = aCharacter >= '0' && aCharacter <= '9';
+  return isLetter || isDigit || aCharacter == '-' || aCharacter == '_' ||
          aCharacter == '.';
 }
 
-/** Collects the first bad field of a call. */
+/** Reads id fields of a call and records the first invalid one. */
 class FieldReader
 {
 public:
@@ -33,9 +33,9 @@
   Id Read(const char* aField, capnp::Text::Reader aText)
   {
     std::string text = ToString(aText);
-    const bool sound = !text.empty() && text.size() <= kMaxIdLength &&
-                       std::all_of(text.begin(), text.end(), IsIdCharacter);
-    if (!sound && m_error.m_field.empty()) {
+    const bool isValid = !text.empty() && text.size() <= kMaxIdLength &&
+                         std::all_of(text.begin(), text.end(), IsIdCharacter);
+    if (!isValid && m_error.m_field.empty()) {
       m_error.m_field = aField;
       m_error.m_message = std::string{ aField } + ": '" + text +
                           "' is not 1 to 128 of a-z A-Z 0-9 - _ .";
--- a/src/wire/queue_codec.cpp
+++ b/src/wire/queue_codec.cpp
@@ -9,8 +9,8 @@
 
 namespace bamboostile::wire {
 
-// The enumerations of the schema and of the jobs library list the same values
-// in the same order.
+// The enumerations of the schema and of the jobs library have the same values
+// in the same order, so they are converted by static_cast.
 
 void
 Write(const jobs::QueueCall& aCall, schema::QueueCall::Builder aTo)
@@ -65,7 +65,8 @@
 
 namespace {
 
-/** Queues of the own interface have no host; their path is "/name/". */
+/** Queues that callers reach at /v1/queues/{name} have no host; their path
+ * prefix is "/name/". */
 std::string
 PrefixOf(const std::string& aName)
 {
