--- a/schema/internal.capnp
+++ b/schema/internal.capnp
@@ -1,5 +1,6 @@
 @0xd4f20c7be19a3865;
-# Between the system's own processes, and the frames of the data folder.
+# Messages between the system's own processes, and the frames stored in the data
+# folder.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("bamboostile::schema");
@@ -40,7 +41,7 @@
 }
 
 struct Frame {
-  # One synced write of the data folder.
+  # One synced write to the data folder.
   hasHardState @0 :Bool;
   hardState @1 :HardState;
   hasSnapshot @2 :Bool;
@@ -105,7 +106,8 @@
 }
 
 struct InFlight {
-  # Requests an entry has under way at an instance that is going out.
+  # Number of an entry's requests in flight at an instance that is leaving
+  # service.
   id @0 :Text;
   count @1 :UInt32;
 }
@@ -115,9 +117,9 @@
   zone @1 :Text;
   http @2 :Text;
   revision @3 :UInt64;
-  # The view in force at this entry.
+  # Revision of the view that this entry uses.
   renewals @4 :List(UInt64);
-  # One number for each (instance, incarnation) heard from; see RenewalKey.
+  # One number for each (instance, incarnation) that reported; see RenewalKey.
   inFlight @5 :List(InFlight);
   leaving @6 :Bool;
 }
@@ -131,7 +133,7 @@
   outcome @0 :SyncOutcome;
   leaderAddress @1 :Text;
   leaseMs @2 :UInt32;
-  # Counted by the entry from when it sent the request.
+  # Lease duration, measured by the entry from when it sent the request.
   view @3 :Data;
   controlAddresses @4 :List(Text);
   term @5 :UInt64;
@@ -179,8 +181,8 @@
 
 interface Control {
   deliver @0 (message :Message, replyTo :Text);
-  # replyTo is the sender's address: a new replica, or one that lags, does not
-  # know the member that writes to it.
+  # replyTo is the sender's address: a new or lagging replica may not know the
+  # member that sends to it.
   identify @1 () -> (id :ReplicaId, empty :Bool);
   sync @2 (request :SyncRequest) -> (reply :SyncReply);
   begin @3 (begin :Begin) -> (reply :LedgerReply);
@@ -189,10 +191,10 @@
   operators @6 () -> (operators :Ops.Operators);
   announce @7 (announcements :List(Announcement))
       -> (outcome :SyncOutcome, leaderAddress :Text);
-  # Answered once the announcements are committed.
+  # Replies once the announcements are committed.
   queueCall @8 (call :Ops.QueueCall) -> (reply :Ops.QueueReply);
   join @9 (id :ReplicaId, address :Text)
       -> (outcome :SyncOutcome, leaderAddress :Text, hasNoLog :Bool);
-  # hasNoLog: the process that was asked only names the leader and never joins.
-  # Asks for admission to the group, as a learner at first.
+  # Requests admission to the group, as a learner at first.
+  # hasNoLog: the receiving process only names the leader and never joins.
 }
--- a/schema/jobs.capnp
+++ b/schema/jobs.capnp
@@ -1,5 +1,5 @@
 @0xb1d64c0a8c5f27e3;
-# Jobs: what callers hand in, the commands of the replicated log, and the
+# Jobs: what callers submit, the commands of the replicated log, and the
 # snapshot of all jobs.
 
 using Cxx = import "/capnp/c++.capnp";
@@ -43,7 +43,7 @@
 }
 
 struct Change {
-  # One change of the state of jobs. `atMs` is time of day, in ms since 1970.
+  # One change to the state of jobs. `atMs` is wall-clock time in ms since 1970.
   union {
     submit :group {
       job @0 :Text;
@@ -59,7 +59,7 @@
       task @6 :TaskRef;
       run @7 :UInt32;
       worker @8 :Text;
-      # 0 in logs of earlier versions, which name no life.
+      # 0 in logs of earlier versions, which record no worker incarnation.
       workerStartedAtMs @22 :Int64;
     }
     end :group {
@@ -68,8 +68,8 @@
       how @11 :UInt8;
       checkpoint @12 :Text;
       endAtMs @13 :Int64;
-      # Of a run that ended with its worker; 0 where nothing speaks against the
-      # task.
+      # Set if the run ended because its worker was lost; 0 if the loss is no
+      # evidence against the task.
       evidence @18 :UInt8;
       lostInstance @19 :Text;
       late @27 :Bool;
--- a/schema/operators.capnp
+++ b/schema/operators.capnp
@@ -1,5 +1,5 @@
 @0xb1a7c3d58e204f96;
-# The contract with operators: every call the command line makes, and any
+# The operators' interface: every call that the command line makes and that any
 # program may make. The same structs are kept as JSON files for review.
 
 using Cxx = import "/capnp/c++.capnp";
@@ -15,16 +15,18 @@
 struct Service {
   id @0 :Text;
   maxUnavailablePercent @1 :UInt32 = 20;
-  # Instances that may be out at once, whatever the reason.
+  # Maximum percentage of instances that may be unavailable at the same time,
+  # for any reason.
   defaultTimeoutMs @2 :UInt32 = 5000;
   retryBudgetPercent @3 :UInt32 = 10;
-  # Retries allowed in percent of first attempts.
+  # Maximum retries, in percent of first attempts.
   queueLimit @4 :UInt32 = 256;
-  # Requests that may wait at one entry.
+  # Maximum number of requests that may wait at one entry.
   postIsIdempotent @5 :Bool = false;
-  # POST and PATCH may run twice without harm.
+  # Whether POST and PATCH requests may safely run twice.
   surviveRack @6 :Bool = false;
-  # A wave leaves room for the largest rack to fail as well.
+  # Whether a wave keeps enough free capacity for the largest rack to fail as
+  # well.
 }
 
 struct Config {
@@ -39,10 +41,10 @@
 
 struct OperatorCall {
   operationId @0 :Text;
-  # Chosen by the sender. Sent again, the same id gets the first answer.
+  # Chosen by the sender. A repeated call with the same id gets the first reply.
   operator @1 :Text;
   expectedRevision @2 :UInt64;
-  # The object's revision as the operator saw it; 0 for a new object.
+  # The object's revision that the operator last read; 0 for a new object.
   union {
     putPool :group {
       pool @3 :Text;
@@ -88,9 +90,9 @@
   invalid @3;
   inUse @4;
   notLeader @5;
-  # Nothing was done; leaderAddress says where to go, if it is known.
+  # Nothing was done; leaderAddress names the leader if it is known.
   unknown @6;
-  # The call may take effect; send it again with the same operation id.
+  # The call may still take effect; repeat it with the same operation id.
 }
 
 struct CallReply {
@@ -101,25 +103,25 @@
   winnerOperator @4 :Text;
   leaderAddress @5 :Text;
   inForce @6 :Bool;
-  # Every entry that may still serve has the change.
+  # Whether every entry that may still serve requests has applied the change.
 }
 
 enum ControlChange {
   init @0;
-  # Makes a replica with an empty data folder the first of a new group.
+  # Makes a replica with an empty data folder the first member of a new group.
   add @1;
-  # Admits the replica at an address, also in place of a lost one.
+  # Admits the replica at an address, possibly as replacement of a lost one.
   remove @2;
 }
 
 struct QueueCall {
-  # A call of a caller of a queue, as the entry took it.
+  # A caller's call to a queue, as the entry received it.
   kind @0 :Kind;
   host @1 :Text;
   path @2 :Text;
-  # Prefix of the queue and id of the job, or the prefix alone.
+  # The queue's path prefix, followed by the job's id if the call names one.
   spec @3 :Jobs.JobSpec;
-  # Of `submit`.
+  # Set for `submit` only.
 
   enum Kind {
     submit @0;
@@ -132,13 +134,14 @@
   ok @0;
   notLeader @1;
   noRoutes @2;
-  # No table of routes is in force yet.
+  # No route table has been applied yet.
   noQueue @3;
   noJob @4;
   refused @5;
-  # Not accepted, and never will be by this call.
+  # Not accepted; this call will not be accepted later either.
   undecided @6;
-  # Proposed, but its fate is not known; the same call again finds out.
+  # Proposed, but not known to be committed; repeating the call returns the
+  # outcome.
   badJob @7;
 }
 
@@ -148,7 +151,7 @@
   state @2 :State;
   pending @3 :UInt64;
   isQueue @4 :Bool;
-  # The path named a queue: `pending` is set instead of `state`.
+  # Whether the path matches a queue: `pending` is set instead of `state`.
   retryAfterMs @5 :UInt32;
   detail @6 :Text;
 
@@ -167,16 +170,16 @@
   service @1 :Text;
   timeoutMs @2 :UInt32 = 3000;
   objectiveMs @3 :UInt32 = 3000;
-  # A job should be completed after its longest chain of work, times
-  # `stretch`, and this.
+  # A job should be completed within the duration of its longest chain of
+  # steps, times `stretch`, plus this.
   stretch @4 :Float64 = 1;
   priority @5 :UInt32;
-  # 0 comes first.
+  # 0 is the highest priority.
   maxAttempts @6 :UInt32 = 3;
 }
 
 struct QueueTable {
-  # All queues at once; the highest version is in force.
+  # All queues; the table with the highest version applies.
   version @0 :UInt64;
   queues @1 :List(QueueRow);
 }
@@ -184,7 +187,8 @@
 interface Operators {
   submit @0 (call :OperatorCall) -> (reply :CallReply);
   status @1 () -> (json :Text, reply :CallReply);
-  # The state as one JSON document; only from a leader confirmed by a quorum.
+  # Returns the state as one JSON document, only from a leader confirmed by a
+  # quorum.
   control @2 (change :ControlChange, instance :Text, address :Text)
       -> (reply :CallReply);
   queueCall @3 (call :QueueCall) -> (reply :QueueReply);
