--- a/src/wire/entry_codec.cpp
+++ b/src/wire/entry_codec.cpp
@@ -93,7 +93,7 @@
   aTo.setTicket(aFrom.m_ticket);
   aTo.setState(static_cast<std::uint8_t>(aFrom.m_state));
   if (aFrom.m_answer) {
-    // The answer is sent in its log encoding, so that control replicas need not
+    // The answer is sent in its log encoding, so that control replicas never
     // decode it.
     outcome::Record record;
     record.m_answer = aFrom.m_answer;
