--- a/include/bamboostile/placement/durations.h
+++ b/include/bamboostile/placement/durations.h
@@ -7,23 +7,25 @@
 namespace bamboostile::placement {
 
 /**
- * @brief How long tasks take: learned from runs that were done, by image, as
- * callers' estimates may be wrong by nine tenths.
+ * @brief Estimates how long tasks take, from the successful runs of each image.
+ *
+ * Callers' estimates may be wrong by nine tenths.
  */
 class Durations
 {
 public:
-  void Learn(const jobs::StepSpec& aStep, Duration aTook);
-  /** Of one task; the caller's estimate while none of its image was done. */
+  void Learn(const jobs::StepSpec& aStep, Duration aDuration);
+  /** Estimate for one task of the step: the caller's own until a run of the
+   * same image has succeeded. */
   Millis Estimate(const jobs::StepSpec& aStep) const;
 
 private:
-  struct Learned
+  struct ImageStatistics
   {
     double m_meanMs = 0;
-    double m_weight = 0;
+    double m_count = 0;
   };
-  std::unordered_map<ImageId, Learned> m_learned;
+  std::unordered_map<ImageId, ImageStatistics> m_statistics;
 };
 
 } // namespace bamboostile::placement
--- a/include/bamboostile/placement/mechanisms.h
+++ b/include/bamboostile/placement/mechanisms.h
@@ -7,33 +7,33 @@
 
 namespace bamboostile::placement {
 
-/** A mechanism of placement. Each can be switched off by the settings, so that
- * what it is worth can be measured. */
+/** A mechanism of placement. The settings can disable each of them, so that its
+ * effect can be measured. */
 enum class Mechanism : std::uint8_t
 {
-  /** Instances follow demand from pool to pool. */
+  /** Moves instances between pools as demand changes. */
   kMoves,
-  /** What nothing needs goes to standby. */
+  /** Puts instances that no pool needs into standby. */
   kStandby,
-  /** Surplus instances that still work are emptied. */
+  /** Moves work off surplus instances that still run tasks. */
   kEmptying,
-  /** A worker is kept free for large tasks. */
+  /** Reserves workers for large tasks that do not fit. */
   kRoomForLarge,
-  /** Durations are learned by image. */
+  /** Estimates durations from earlier runs of the same image. */
   kLearnedDurations,
-  /** What can't be in time comes after what can. */
+  /** Places jobs that are late after those that can still be in time. */
   kLateLast,
-  /** Long-running tasks share workers. */
+  /** Places long-running tasks on shared workers. */
   kSharing,
-  /** Other tasks are packed on few workers. */
+  /** Packs other tasks onto few workers. */
   kPacking,
-  /** What maintenance takes is replaced before it goes. */
+  /** Replaces instances before maintenance takes them. */
   kReplacement,
-  /** A worker on which all fails gets no more for a while. */
+  /** Starts nothing for a while on a worker on which all tasks fail. */
   kSettingAside,
-  /** Runs that stand still are stopped. */
+  /** Stops runs that make no progress. */
   kStuckRuns,
-  /** Reports of quiet workers are held until there is an order. */
+  /** Delays the answer to a report without news until there is an order. */
   kHeldReports,
 };
 
@@ -41,14 +41,14 @@
 const char* NameOf(Mechanism aMechanism) noexcept;
 std::optional<Mechanism> MechanismOf(const std::string& aName);
 
-/** All are on but those that were switched off. */
+/** The enabled mechanisms; initially all. */
 class Mechanisms
 {
 public:
-  void SwitchOff(Mechanism aMechanism) { m_off |= Bit(aMechanism); }
+  void SwitchOff(Mechanism aMechanism) { m_disabled |= Bit(aMechanism); }
   bool Has(Mechanism aMechanism) const
   {
-    return (m_off & Bit(aMechanism)) == 0;
+    return (m_disabled & Bit(aMechanism)) == 0;
   }
 
 private:
@@ -57,7 +57,7 @@
     return 1U << static_cast<std::uint32_t>(aMechanism);
   }
 
-  std::uint32_t m_off = 0;
+  std::uint32_t m_disabled = 0;
 };
 
 } // namespace bamboostile::placement
--- a/include/bamboostile/placement/plan_pacer.h
+++ b/include/bamboostile/placement/plan_pacer.h
@@ -5,17 +5,17 @@
 namespace bamboostile::placement {
 
 /**
- * @brief Decides when the next pass of placing runs while ends of runs keep
- * coming in.
+ * @brief Decides when the next placement pass runs while ends of runs keep
+ * arriving.
  *
- * A pass sees what has been committed, so one right behind each batch of ends
- * places soonest. It takes the leader's time, though, which grows faster than
- * the number of workers.
+ * A pass sees only committed ends, so a pass after each batch places tasks
+ * soonest. But passes take the leader's time, which grows faster than the
+ * number of workers.
  */
 class PlanPacer
 {
 public:
-  /** aHasMore: ends wait to be committed. */
+  /** aHasMore: more ends wait to be committed. */
   bool IsDue(bool aHasMore, TimePoint aNow) const
   {
     return !aHasMore || aNow >= m_notBefore;
--- a/include/bamboostile/placement/planner.h
+++ b/include/bamboostile/placement/planner.h
@@ -9,22 +9,22 @@
 
 namespace bamboostile::placement {
 
-/** What the planner wants done now. */
+/** The decisions of one placement pass. */
 struct Plan
 {
   std::vector<jobs::Change> m_changes;
-  /** Runs to be stopped, so that they go on elsewhere. */
+  /** Runs to stop, so that their tasks restart on other workers. */
   std::vector<StopOrder> m_stops;
 };
 
 /**
  * @brief Decides which waiting task starts on which worker.
  *
- * Long-running tasks come first, then by priority, then what can still be in
- * time by due time, then what is late. One task that finds no room keeps the
- * emptiest worker free for itself, so that large tasks are not starved by
- * small ones. Tasks that may crash their workers come last, each tried on a
- * worker to which nothing else is started, on a share of the pool at a time.
+ * Long-running tasks come first. The others are ordered by lateness (late jobs
+ * last), then priority, then due time. A large task that does not fit reserves
+ * the emptiest worker, so that small tasks do not starve it. Suspects, tasks
+ * that may crash their workers, come last: each gets an isolated run on a
+ * worker that is given no other work, on a share of the pool at a time.
  */
 class Planner
 {
@@ -40,41 +40,42 @@
             TimePoint aNow,
             WallTime aWall);
 
-  /** A run was done after this time; estimates learn from it. */
-  void Learn(const jobs::StepSpec& aStep, Duration aTook)
+  /** Updates the estimates with the duration of a successful run. */
+  void Learn(const jobs::StepSpec& aStep, Duration aDuration)
   {
     if (m_mechanisms.Has(Mechanism::kLearnedDurations)) {
-      m_durations.Learn(aStep, aTook);
+      m_durations.Learn(aStep, aDuration);
     }
   }
   const Durations& EstimatedDurations() const { return m_durations; }
 
 private:
-  struct Room
+  /** The free capacity of a worker and what the worker hosts. */
+  struct Target
   {
     const Worker* m_worker = nullptr;
-    std::int64_t m_cpu = 0;
-    std::int64_t m_memory = 0;
-    std::int64_t m_accelerators = 0;
-    bool m_serves = false;
+    std::int64_t m_freeCpuMillis = 0;
+    std::int64_t m_freeMemoryMb = 0;
+    std::int64_t m_freeAccelerators = 0;
+    bool m_hostsLatencySensitive = false;
     bool m_hostsLongRunning = false;
     bool m_hostsGang = false;
     std::uint32_t m_runs = 0;
-    /** Starts that no report has shown yet. */
-    std::uint32_t m_unshown = 0;
-    /** Whose task is on trial here. */
-    const jobs::Job* m_trialOf = nullptr;
-    /** All on trial here may be tried together. */
-    bool m_isJoint = false;
-    /** Free for a task that has found no room yet. */
-    bool m_kept = false;
-    /** Its worker may be gone: it counts, but gets nothing new. */
-    bool m_isInDoubt = false;
+    /** Starts sent but not yet confirmed by a report. */
+    std::uint32_t m_unconfirmed = 0;
+    /** The job whose task has an isolated run here; null if none has. */
+    const jobs::Job* m_isolatedJob = nullptr;
+    /** Isolated runs of several tasks may share this worker. */
+    bool m_isShared = false;
+    /** Reserved for a large task that does not fit anywhere yet. */
+    bool m_isReserved = false;
+    /** The worker may be lost: it counts in the pool but gets no new tasks. */
+    bool m_isUnresponsive = false;
 
     bool Fits(const jobs::StepSpec& aStep) const;
-    void Take(const jobs::StepSpec& aStep);
-    bool IsOpenToTrialOf(const jobs::Job& aJob, bool aIsJoint) const;
-    void AddTrialOf(const jobs::Job& aJob, bool aIsJoint);
+    void Allocate(const jobs::StepSpec& aStep);
+    bool AcceptsIsolatedRunOf(const jobs::Job& aJob, bool aIsShared) const;
+    void AddIsolatedRunOf(const jobs::Job& aJob, bool aIsShared);
   };
 
   struct Candidate
@@ -84,103 +85,109 @@
     std::uint32_t m_occurrence = 0;
     std::uint32_t m_step = 0;
     bool m_isLongRunning = false;
-    bool m_late = false;
+    bool m_isLate = false;
     WallTime m_due;
   };
 
-  /** A task whose next run is a trial. */
-  struct Suspect
+  /** A task whose next run is isolated. */
+  struct SuspectTask
   {
     std::uint32_t m_index = 0;
     std::vector<jobs::WorkerLoss> m_losses;
   };
 
-  using Pool = std::vector<Room>;
-  /** Running tasks of one step by worker. */
-  using OnWorkers = std::unordered_map<WorkerLife, std::uint32_t>;
+  using Pool = std::vector<Target>;
+  /** Number of running tasks of one step on each worker. */
+  using TasksPerWorker = std::unordered_map<WorkerLife, std::uint32_t>;
   using Pools = std::unordered_map<ServiceId, Pool>;
 
-  Pools FindRoom(const fleet::State& aState,
-                 const WorkerTable& aWorkers,
-                 const std::set<WorkerLife>& aCordoned,
-                 TimePoint aNow) const;
+  Pools FindTargets(const fleet::State& aState,
+                    const WorkerTable& aWorkers,
+                    const std::set<WorkerLife>& aCordoned,
+                    TimePoint aNow) const;
   std::vector<Candidate> FindCandidates(const fleet::State& aState,
                                         WallTime aWall) const;
   void AddCandidates(const jobs::Job& aJob,
                      const fleet::QueueRoute& aRoute,
                      std::uint32_t aOccurrence,
-                     WallTime aBegan,
+                     WallTime aReadyAt,
                      WallTime aWall,
-                     std::vector<Candidate>& aTo) const;
+                     std::vector<Candidate>& aCandidates) const;
   void Place(const Candidate& aCandidate, Pool& aPool, Plan& aPlan) const;
-  void KeepEmptiest(const jobs::StepSpec& aStep, Pool& aPool) const;
-  /** aWaited: set for a gang on trial, since its delay was over. */
+  void ReserveEmptiest(const jobs::StepSpec& aStep, Pool& aPool) const;
+  /** aTimeSinceDelay: for a gang of suspects, the time since its retry delay
+   * ended; otherwise unset. */
   void PlaceGang(const Candidate& aCandidate,
-                 std::optional<Millis> aWaited,
+                 std::optional<Millis> aTimeSinceDelay,
                  Pool& aPool,
                  Plan& aPlan) const;
-  /** Those of the step that wait, the fewest losses first. */
-  static std::vector<Suspect> FindSuspects(const Candidate& aCandidate);
-  static std::vector<Candidate> OrderForTrials(
+  /** Waiting suspects of the step, those with the fewest losses first. */
+  static std::vector<SuspectTask> FindSuspects(const Candidate& aCandidate);
+  static std::vector<Candidate> OrderSuspects(
     std::vector<Candidate>::const_iterator aFrom,
     std::vector<Candidate>::const_iterator aTo,
     const jobs::Book& aBook);
-  /** Starts a suspect of the step whose delay is over, on trial; those that
-   * may be tried together, all at once. */
-  void PlaceTrial(const Candidate& aCandidate,
-                  bool aIsCalm,
-                  WallTime aWall,
-                  Pool& aPool,
-                  Plan& aPlan) const;
-  void FindTrials(const Worker& aWorker,
-                  const std::vector<jobs::TaskRef>& aPlaced,
-                  const jobs::Book& aBook,
-                  Room& aRoom) const;
-  /** Null where no worker may take it; aWaited: since its delay was over. */
-  Room* ChooseForTrial(const jobs::Job& aJob,
-                       const jobs::StepSpec& aStep,
-                       const std::vector<jobs::WorkerLoss>& aLosses,
-                       const OnWorkers& aOnWorker,
-                       Millis aWaited,
-                       bool aIsJoint,
-                       Pool& aPool) const;
-  /** Whether the worker may run the step once it has room. */
-  static bool MayEverRun(const jobs::StepSpec& aStep,
-                         const OnWorkers& aOnWorker,
-                         const Room& aRoom);
-  /** Workers of the pool on which suspects are on trial, together or not. */
-  static std::size_t CountTrials(const Pool& aPool, bool aIsJoint);
-  static std::size_t MostTrials(const Pool& aPool);
-  static bool MayTry(const jobs::Job& aJob, bool aIsJoint, const Pool& aPool);
-  /** Since the delay of the next trial was over; unset before. */
-  static std::optional<Millis> WaitedForTrial(
+  /** Starts an isolated run of one suspect of the step whose retry delay has
+   * ended, or of all such suspects that may share a worker. */
+  void PlaceSuspects(const Candidate& aCandidate,
+                     bool aIsQuietPeriod,
+                     WallTime aWall,
+                     Pool& aPool,
+                     Plan& aPlan) const;
+  void FindIsolatedRuns(const Worker& aWorker,
+                        const std::vector<jobs::TaskRef>& aPlaced,
+                        const jobs::Book& aBook,
+                        Target& aTarget) const;
+  /** Null if no worker may take the task. aTimeSinceDelay: time since its retry
+   * delay ended. */
+  Target* ChooseForIsolatedRun(const jobs::Job& aJob,
+                               const jobs::StepSpec& aStep,
+                               const std::vector<jobs::WorkerLoss>& aLosses,
+                               const TasksPerWorker& aTasksPerWorker,
+                               Millis aTimeSinceDelay,
+                               bool aIsShared,
+                               Pool& aPool) const;
+  /** Whether the worker could run a task of the step if it were empty. */
+  static bool IsEligible(const jobs::StepSpec& aStep,
+                         const TasksPerWorker& aTasksPerWorker,
+                         const Target& aTarget);
+  /** Workers of the pool with isolated runs, shared or not. */
+  static std::size_t CountIsolatedWorkers(const Pool& aPool, bool aIsShared);
+  static std::size_t MaxIsolatedWorkers(const Pool& aPool);
+  static bool MayIsolate(const jobs::Job& aJob,
+                         bool aIsShared,
+                         const Pool& aPool);
+  /** Time since the retry delay before the next isolated run ended; unset
+   * while it lasts. */
+  static std::optional<Millis> TimeSinceRetryDelay(
     const jobs::TaskRef& aTask,
     const std::vector<jobs::WorkerLoss>& aLosses,
     WallTime aWall);
-  static std::uint32_t CountOn(const WorkerLife& aWorker,
-                               const OnWorkers& aOnWorkers);
-  /** aOnWorker: tasks of the step that run there. */
+  static std::uint32_t TasksOnWorker(const WorkerLife& aWorker,
+                                     const TasksPerWorker& aTasksPerWorker);
+  /** aTasksOnWorker: running tasks of the step on this worker. */
   static bool IsAllowed(const jobs::StepSpec& aStep,
-                        std::uint32_t aOnWorker,
-                        const Room& aRoom);
-  /** Null where no worker may take a task of the step. */
-  Room* Choose(const jobs::StepSpec& aStep,
-               const OnWorkers& aOnWorker,
-               Pool& aPool) const;
-  static OnWorkers CountOnWorkers(const std::vector<jobs::Task>& aTasks);
-  static bool MayLeave(const jobs::TaskRef& aTask,
-                       const fleet::State& aState,
-                       const WorkerTable& aWorkers,
-                       const Worker& aFrom,
-                       TimePoint aNow,
-                       const Plan& aPlan);
-  void MoveLongRunning(const fleet::State& aState,
-                       const WorkerTable& aWorkers,
-                       const std::set<WorkerLife>& aCordoned,
-                       TimePoint aNow,
-                       Pools& aPools,
-                       Plan& aPlan) const;
-  Millis LongestChain(const jobs::Job& aJob,
+                        std::uint32_t aTasksOnWorker,
+                        const Target& aTarget);
+  /** Null if no worker may take a task of the step. */
+  Target* Choose(const jobs::StepSpec& aStep,
+                 const TasksPerWorker& aTasksPerWorker,
+                 Pool& aPool) const;
+  static TasksPerWorker CountTasksPerWorker(
+    const std::vector<jobs::Task>& aTasks);
+  static bool MayMoveAway(const jobs::TaskRef& aTask,
+                          const fleet::State& aState,
+                          const WorkerTable& aWorkers,
+                          const Worker& aFrom,
+                          TimePoint aNow,
+                          const Plan& aPlan);
+  void MoveLongRunningTasks(const fleet::State& aState,
+                            const WorkerTable& aWorkers,
+                            const std::set<WorkerLife>& aCordoned,
+                            TimePoint aNow,
+                            Pools& aPools,
+                            Plan& aPlan) const;
+  Millis CriticalPath(const jobs::Job& aJob,
                       const jobs::Occurrence* aProgress) const;
 
   Mechanisms m_mechanisms;
--- a/src/placement/durations.cpp
+++ b/src/placement/durations.cpp
@@ -6,27 +6,27 @@
 
 namespace {
 
-/** Weight of one observed duration against what is known: follows a change
- * within some five runs, and one outlier moves the mean by a fifth. */
-constexpr double kLearnShare = 0.2;
+/** Minimum weight of one observed duration in the mean. The mean follows a
+ * change within about five runs, and one outlier moves it by a fifth. */
+constexpr double kMinSampleWeight = 0.2;
 
 } // namespace
 
 void
-Durations::Learn(const jobs::StepSpec& aStep, Duration aTook)
+Durations::Learn(const jobs::StepSpec& aStep, Duration aDuration)
 {
-  Learned& learned = m_learned[aStep.m_image];
-  const auto tookMs = static_cast<double>(ToMillis(aTook).count());
-  learned.m_weight += 1;
-  const double share = std::max(kLearnShare, 1 / learned.m_weight);
-  learned.m_meanMs += (tookMs - learned.m_meanMs) * share;
+  ImageStatistics& statistics = m_statistics[aStep.m_image];
+  const auto durationMs = static_cast<double>(ToMillis(aDuration).count());
+  statistics.m_count += 1;
+  const double weight = std::max(kMinSampleWeight, 1 / statistics.m_count);
+  statistics.m_meanMs += (durationMs - statistics.m_meanMs) * weight;
 }
 
 Millis
 Durations::Estimate(const jobs::StepSpec& aStep) const
 {
-  const auto found = m_learned.find(aStep.m_image);
-  if (aStep.m_image.Get().empty() || found == m_learned.end()) {
+  const auto found = m_statistics.find(aStep.m_image);
+  if (aStep.m_image.Get().empty() || found == m_statistics.end()) {
     return aStep.m_estimate;
   }
   return Millis{ static_cast<std::int64_t>(found->second.m_meanMs) };
--- a/src/placement/mechanisms.cpp
+++ b/src/placement/mechanisms.cpp
@@ -8,25 +8,25 @@
 
 namespace {
 
-struct Named
+struct NamedMechanism
 {
   Mechanism m_mechanism;
   const char* m_name;
 };
 
 constexpr std::array kNames{
-  Named{ Mechanism::kMoves, "moves" },
-  Named{ Mechanism::kStandby, "standby" },
-  Named{ Mechanism::kEmptying, "emptying" },
-  Named{ Mechanism::kRoomForLarge, "roomForLarge" },
-  Named{ Mechanism::kLearnedDurations, "learnedDurations" },
-  Named{ Mechanism::kLateLast, "lateLast" },
-  Named{ Mechanism::kSharing, "sharing" },
-  Named{ Mechanism::kPacking, "packing" },
-  Named{ Mechanism::kReplacement, "replacement" },
-  Named{ Mechanism::kSettingAside, "settingAside" },
-  Named{ Mechanism::kStuckRuns, "stuckRuns" },
-  Named{ Mechanism::kHeldReports, "heldReports" },
+  NamedMechanism{ Mechanism::kMoves, "moves" },
+  NamedMechanism{ Mechanism::kStandby, "standby" },
+  NamedMechanism{ Mechanism::kEmptying, "emptying" },
+  NamedMechanism{ Mechanism::kRoomForLarge, "roomForLarge" },
+  NamedMechanism{ Mechanism::kLearnedDurations, "learnedDurations" },
+  NamedMechanism{ Mechanism::kLateLast, "lateLast" },
+  NamedMechanism{ Mechanism::kSharing, "sharing" },
+  NamedMechanism{ Mechanism::kPacking, "packing" },
+  NamedMechanism{ Mechanism::kReplacement, "replacement" },
+  NamedMechanism{ Mechanism::kSettingAside, "settingAside" },
+  NamedMechanism{ Mechanism::kStuckRuns, "stuckRuns" },
+  NamedMechanism{ Mechanism::kHeldReports, "heldReports" },
 };
 
 } // namespace
@@ -34,9 +34,9 @@
 const char*
 NameOf(Mechanism aMechanism) noexcept
 {
-  const auto found =
-    std::find_if(kNames.begin(), kNames.end(), [&](const Named& aOne) {
-      return aOne.m_mechanism == aMechanism;
+  const auto found = std::find_if(
+    kNames.begin(), kNames.end(), [&](const NamedMechanism& aNamed) {
+      return aNamed.m_mechanism == aMechanism;
     });
   return found == kNames.end() ? "unknown" : found->m_name;
 }
@@ -44,9 +44,9 @@
 std::optional<Mechanism>
 MechanismOf(const std::string& aName)
 {
-  const auto found =
-    std::find_if(kNames.begin(), kNames.end(), [&](const Named& aOne) {
-      return aOne.m_name == aName;
+  const auto found = std::find_if(
+    kNames.begin(), kNames.end(), [&](const NamedMechanism& aNamed) {
+      return aNamed.m_name == aName;
     });
   return found == kNames.end() ? std::nullopt
                                : std::optional{ found->m_mechanism };
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -9,78 +9,83 @@
 
 namespace {
 
-/** One worker in so many is kept free for large tasks that find no room; none
- * in a pool of less than four. What is kept stands idle beside a queue. */
-constexpr std::size_t kKeptShare = 16;
-constexpr std::size_t kLeastPoolToKeep = 4;
-/** A task is large if it needs more than one part in so many of a worker:
- * pieces that smaller ones leave, or run in, add up to that often enough. */
-constexpr std::int64_t kLargeShare = 4;
+/** One worker per this many is reserved for large tasks that do not fit, but at
+ * least one. A reserved worker stands idle while other tasks wait. */
+constexpr std::size_t kWorkersPerReservation = 16;
+/** Pools of fewer workers than this reserve none. */
+constexpr std::size_t kMinPoolSizeForReservation = 4;
+/** A task is large if it needs more than a fourth of a worker, or any
+ * accelerator. Capacity that smaller tasks leave free, or free when they end,
+ * often adds up to a fourth. */
+constexpr std::int64_t kLargeTaskDivisor = 4;
 
-/** What a job that is just in time must have left: its longest task takes so
- * much longer than the mean of its image, */
-constexpr std::int64_t kSlowerPercent = 30;
-/** and from placing a task to noting its end so long passes beside its work. */
+/** Margin, in percent of the remaining critical path, before a job counts as
+ * late: its longest task takes this much longer than the mean of its image. */
+constexpr std::int64_t kDurationMarginPercent = 30;
+/** Time from placing a task to recording its end, in addition to its work. */
 constexpr Millis kStepOverhead{ 250 };
 
-/** A lost worker takes at most one task in so many of a long-running step, as
- * far as there is room elsewhere. */
-constexpr std::uint32_t kSpreadShare = 8;
+/** A worker gets at most one task per this many tasks of a long-running step,
+ * as far as other workers have free capacity, so that the loss of a worker
+ * stops no more than that. */
+constexpr std::uint32_t kSpreadDivisor = 8;
 
 std::uint32_t
 SpreadLimit(const jobs::StepSpec& aStep)
 {
-  return (aStep.m_count + kSpreadShare - 1) / kSpreadShare;
+  return (aStep.m_count + kSpreadDivisor - 1) / kSpreadDivisor;
 }
 
 } // namespace
 
 bool
-Planner::Room::Fits(const jobs::StepSpec& aStep) const
+Planner::Target::Fits(const jobs::StepSpec& aStep) const
 {
-  return !m_isInDoubt && aStep.CountedCpu() <= m_cpu &&
-         aStep.m_needs.m_memoryMb <= m_memory &&
-         aStep.m_needs.m_accelerators <= m_accelerators;
+  return !m_isUnresponsive && aStep.CountedCpu() <= m_freeCpuMillis &&
+         aStep.m_needs.m_memoryMb <= m_freeMemoryMb &&
+         aStep.m_needs.m_accelerators <= m_freeAccelerators;
 }
 
 void
-Planner::Room::Take(const jobs::StepSpec& aStep)
+Planner::Target::Allocate(const jobs::StepSpec& aStep)
 {
-  m_cpu -= aStep.CountedCpu();
-  m_memory -= aStep.m_needs.m_memoryMb;
-  m_accelerators -= aStep.m_needs.m_accelerators;
-  m_serves = m_serves || aStep.m_latencyTarget > Millis::zero();
+  m_freeCpuMillis -= aStep.CountedCpu();
+  m_freeMemoryMb -= aStep.m_needs.m_memoryMb;
+  m_freeAccelerators -= aStep.m_needs.m_accelerators;
+  m_hostsLatencySensitive =
+    m_hostsLatencySensitive || aStep.m_latencyTarget > Millis::zero();
   m_hostsLongRunning = m_hostsLongRunning || aStep.m_longRunning;
   m_hostsGang = m_hostsGang || aStep.m_gang;
   ++m_runs;
 }
 
 Millis
-Planner::LongestChain(const jobs::Job& aJob,
+Planner::CriticalPath(const jobs::Job& aJob,
                       const jobs::Occurrence* aProgress) const
 {
-  std::vector<Millis> ends;
-  Millis longest{};
-  for (std::size_t s = 0; s < aJob.m_spec.m_steps.size(); ++s) {
-    const jobs::StepSpec& step = aJob.m_spec.m_steps[s];
-    Millis end{};
-    for (const std::uint32_t earlier : step.m_dependsOn) {
-      end = std::max(end, ends[earlier]);
+  std::vector<Millis> finishTimes;
+  Millis latestFinish{};
+  for (std::size_t stepIndex = 0; stepIndex < aJob.m_spec.m_steps.size();
+       ++stepIndex) {
+    const jobs::StepSpec& step = aJob.m_spec.m_steps[stepIndex];
+    Millis finishTime{};
+    for (const std::uint32_t dependency : step.m_dependsOn) {
+      finishTime = std::max(finishTime, finishTimes[dependency]);
     }
-    if (aProgress == nullptr || !aProgress->m_steps[s].IsDone()) {
-      end += m_durations.Estimate(step);
+    if (aProgress == nullptr || !aProgress->m_steps[stepIndex].IsDone()) {
+      finishTime += m_durations.Estimate(step);
     }
-    ends.push_back(end);
-    longest = std::max(longest, end);
+    finishTimes.push_back(finishTime);
+    latestFinish = std::max(latestFinish, finishTime);
   }
-  return longest;
+  return latestFinish;
 }
 
 Planner::Pools
-Planner::FindRoom(const fleet::State& aState,
-                  const WorkerTable& aWorkers,
-                  const std::set<WorkerLife>& aCordoned,
-                  TimePoint aNow) const
+Planner::FindTargets(const fleet::State& aState,
+                     const WorkerTable& aWorkers,
+                     const std::set<WorkerLife>& aCordoned,
+                     TimePoint aNow) const
 {
   Pools pools;
   const jobs::Book& book = aState.Jobs();
@@ -90,25 +95,25 @@
         worker.m_strayUse.m_isUnknown || aWorkers.HasLaterLife(worker)) {
       continue;
     }
-    const jobs::Resources& all = worker.m_last.m_capacity;
-    const RoomUse& stray = worker.m_strayUse;
-    Room room{ &worker,
-               all.m_cpuMillis - stray.m_cpuMillis,
-               all.m_memoryMb - stray.m_memoryMb,
-               all.m_accelerators - stray.m_accelerators };
-    room.m_isInDoubt = aWorkers.IsInDoubt(worker, aNow);
+    const jobs::Resources& capacity = worker.m_last.m_capacity;
+    const RoomUse& untrackedUse = worker.m_strayUse;
+    Target target{ &worker,
+                   capacity.m_cpuMillis - untrackedUse.m_cpuMillis,
+                   capacity.m_memoryMb - untrackedUse.m_memoryMb,
+                   capacity.m_accelerators - untrackedUse.m_accelerators };
+    target.m_isUnresponsive = aWorkers.IsInDoubt(worker, aNow);
     const auto placed = book.Placed().find(id);
     if (placed != book.Placed().end()) {
       for (const jobs::TaskRef& ref : placed->second) {
         const jobs::StepSpec& step =
           book.Find(ref.m_job)->m_spec.m_steps[ref.m_step];
-        room.Take(step);
+        target.Allocate(step);
       }
       if (hasSuspects) {
-        FindTrials(worker, placed->second, book, room);
+        FindIsolatedRuns(worker, placed->second, book, target);
       }
     }
-    pools[worker.m_last.m_service].push_back(room);
+    pools[worker.m_last.m_service].push_back(target);
   }
   return pools;
 }
@@ -117,36 +122,40 @@
 Planner::AddCandidates(const jobs::Job& aJob,
                        const fleet::QueueRoute& aRoute,
                        std::uint32_t aOccurrence,
-                       WallTime aBegan,
+                       WallTime aReadyAt,
                        WallTime aWall,
-                       std::vector<Candidate>& aTo) const
+                       std::vector<Candidate>& aCandidates) const
 {
   const auto found = aJob.m_occurrences.find(aOccurrence);
   const jobs::Occurrence* progress =
     found == aJob.m_occurrences.end() ? nullptr : &found->second;
-  const auto chain = static_cast<double>(LongestChain(aJob, nullptr).count());
-  const std::int64_t due = aBegan.Get() +
-                           static_cast<std::int64_t>(chain * aRoute.m_stretch) +
-                           aRoute.m_objective.count();
-  const Millis left = LongestChain(aJob, progress);
-  const std::int64_t ends = aWall.Get() +
-                            left.count() * (100 + kSlowerPercent) / 100 +
-                            kStepOverhead.count();
-  const bool late = ends > due && m_mechanisms.Has(Mechanism::kLateLast);
-  for (std::uint32_t s = 0; s < aJob.m_spec.m_steps.size(); ++s) {
-    const jobs::StepSpec& step = aJob.m_spec.m_steps[s];
-    const bool isTurn = progress == nullptr
-                          ? step.m_dependsOn.empty()
-                          : progress->m_steps[s].Waiting() > 0 &&
-                              jobs::Book::IsTurn(*progress, step);
-    if (isTurn) {
-      aTo.push_back({ &aJob,
-                      &aRoute,
-                      aOccurrence,
-                      s,
-                      step.m_longRunning,
-                      late && !step.m_longRunning,
-                      WallTime{ due } });
+  const auto criticalPath =
+    static_cast<double>(CriticalPath(aJob, nullptr).count());
+  const std::int64_t due =
+    aReadyAt.Get() +
+    static_cast<std::int64_t>(criticalPath * aRoute.m_stretch) +
+    aRoute.m_objective.count();
+  const Millis remaining = CriticalPath(aJob, progress);
+  const std::int64_t expectedEnd =
+    aWall.Get() + remaining.count() * (100 + kDurationMarginPercent) / 100 +
+    kStepOverhead.count();
+  const bool isLate =
+    expectedEnd > due && m_mechanisms.Has(Mechanism::kLateLast);
+  for (std::uint32_t stepIndex = 0; stepIndex < aJob.m_spec.m_steps.size();
+       ++stepIndex) {
+    const jobs::StepSpec& step = aJob.m_spec.m_steps[stepIndex];
+    const bool isReady = progress == nullptr
+                           ? step.m_dependsOn.empty()
+                           : progress->m_steps[stepIndex].Waiting() > 0 &&
+                               jobs::Book::IsTurn(*progress, step);
+    if (isReady) {
+      aCandidates.push_back({ &aJob,
+                              &aRoute,
+                              aOccurrence,
+                              stepIndex,
+                              step.m_longRunning,
+                              isLate && !step.m_longRunning,
+                              WallTime{ due } });
     }
   }
 }
@@ -160,8 +169,8 @@
   for (const auto& [order, id] : book.Open()) {
     const jobs::Job& job = *book.Find(id);
     const auto route = aState.RouteLookup().Find(job.m_queue);
-    // Where only one service's advice says which workers may run a step,
-    // nothing may start without it.
+    // A route with an advice policy lets the advice of a service decide which
+    // workers may run a step, so nothing may start without that advice.
     if (job.m_state != jobs::JobState::kActive || !route ||
         routes.m_routes[*route].m_advice) {
       continue;
@@ -171,27 +180,28 @@
       AddCandidates(job, queue, 0, job.m_acceptedAt, aWall, candidates);
       continue;
     }
-    const std::int64_t passed = aWall.Get() - job.m_spec.m_startAt.Get();
+    const std::int64_t elapsed = aWall.Get() - job.m_spec.m_startAt.Get();
     const std::int64_t interval =
       std::max<std::int64_t>(1, job.m_spec.m_interval.count());
-    for (std::uint32_t k = 0;
-         k < job.m_spec.m_repeatCount && k * interval <= passed;
-         ++k) {
-      const WallTime due{ job.m_spec.m_startAt.Get() + k * interval };
-      AddCandidates(job, queue, k, due, aWall, candidates);
+    for (std::uint32_t occurrence = 0; occurrence < job.m_spec.m_repeatCount &&
+                                       occurrence * interval <= elapsed;
+         ++occurrence) {
+      const WallTime scheduledAt{ job.m_spec.m_startAt.Get() +
+                                  occurrence * interval };
+      AddCandidates(job, queue, occurrence, scheduledAt, aWall, candidates);
     }
   }
   std::sort(candidates.begin(),
             candidates.end(),
             [](const Candidate& aLeft, const Candidate& aRight) {
-              const auto key = [](const Candidate& aOne) {
-                return std::make_tuple(!aOne.m_isLongRunning,
-                                       aOne.m_late,
-                                       aOne.m_route->m_priority,
-                                       aOne.m_due,
-                                       aOne.m_job->m_order,
-                                       aOne.m_occurrence,
-                                       aOne.m_step);
+              const auto key = [](const Candidate& aCandidate) {
+                return std::make_tuple(!aCandidate.m_isLongRunning,
+                                       aCandidate.m_isLate,
+                                       aCandidate.m_route->m_priority,
+                                       aCandidate.m_due,
+                                       aCandidate.m_job->m_order,
+                                       aCandidate.m_occurrence,
+                                       aCandidate.m_step);
               };
               return key(aLeft) < key(aRight);
             });
@@ -199,101 +209,108 @@
 }
 
 std::uint32_t
-Planner::CountOn(const WorkerLife& aWorker, const OnWorkers& aOnWorkers)
+Planner::TasksOnWorker(const WorkerLife& aWorker,
+                       const TasksPerWorker& aTasksPerWorker)
 {
-  const auto here = aOnWorkers.find(aWorker);
-  return here == aOnWorkers.end() ? 0 : here->second;
+  const auto found = aTasksPerWorker.find(aWorker);
+  return found == aTasksPerWorker.end() ? 0 : found->second;
 }
 
 bool
 Planner::IsAllowed(const jobs::StepSpec& aStep,
-                   std::uint32_t aOnWorker,
-                   const Room& aRoom)
+                   std::uint32_t aTasksOnWorker,
+                   const Target& aTarget)
 {
-  const auto& labels = aRoom.m_worker->m_last.m_labels;
+  const auto& labels = aTarget.m_worker->m_last.m_labels;
   return (aStep.m_requiredLabel.empty() ||
           labels.contains(aStep.m_requiredLabel)) &&
-         (aStep.m_maxPerWorker == 0 || aOnWorker < aStep.m_maxPerWorker);
+         (aStep.m_maxPerWorker == 0 || aTasksOnWorker < aStep.m_maxPerWorker);
 }
 
-Planner::Room*
+Planner::Target*
 Planner::Choose(const jobs::StepSpec& aStep,
-                const OnWorkers& aOnWorker,
+                const TasksPerWorker& aTasksPerWorker,
                 Pool& aPool) const
 {
-  Room* best = nullptr;
+  Target* best = nullptr;
   auto bestRank = std::make_tuple(true, true, true, true, true, std::int64_t{});
-  for (Room& room : aPool) {
-    const WorkerReport& report = room.m_worker->m_last;
-    if (room.m_kept || room.m_trialOf != nullptr || !room.Fits(aStep)) {
+  for (Target& target : aPool) {
+    const WorkerReport& report = target.m_worker->m_last;
+    if (target.m_isReserved || target.m_isolatedJob != nullptr ||
+        !target.Fits(aStep)) {
       continue;
     }
-    const std::uint32_t onWorker = CountOn(report.m_worker, aOnWorker);
-    if (!IsAllowed(aStep, onWorker, room)) {
+    const std::uint32_t tasksOnWorker =
+      TasksOnWorker(report.m_worker, aTasksPerWorker);
+    if (!IsAllowed(aStep, tasksOnWorker, target)) {
       continue;
     }
-    const bool farFromData = !aStep.m_preferredRack.Get().empty() &&
-                             aStep.m_preferredRack != report.m_rack;
-    // Filler and serving tasks disturb each other on one worker.
-    const bool disturbs = aStep.m_fills && room.m_serves;
-    // Long-running tasks are spread, so that one lost worker takes few of them,
-    // but over workers that have some already, or else run something: one on
-    // each worker would keep the whole pool from ever being idle. The others
-    // are packed, so that room for large ones stays in one piece.
+    const bool isFarFromData = !aStep.m_preferredRack.Get().empty() &&
+                               aStep.m_preferredRack != report.m_rack;
+    // Best-effort tasks disturb tasks with a latency target on the same worker.
+    const bool interferes = aStep.m_fills && target.m_hostsLatencySensitive;
+    // Long-running tasks are spread, so that the loss of one worker stops few
+    // of them, but preferably over workers that already host some, or else run
+    // something: one on each worker would keep the whole pool from ever being
+    // idle. Other tasks are packed, so that free capacity for large tasks is
+    // not fragmented.
     const bool isSpread = aStep.m_longRunning || aStep.m_fills;
-    const bool isCrowded = isSpread && onWorker >= SpreadLimit(aStep);
-    const bool isEmpty = isSpread && m_mechanisms.Has(Mechanism::kSharing) &&
-                         room.m_cpu == report.m_capacity.m_cpuMillis;
+    const bool isCrowded = isSpread && tasksOnWorker >= SpreadLimit(aStep);
+    const bool isEmpty =
+      isSpread && m_mechanisms.Has(Mechanism::kSharing) &&
+      target.m_freeCpuMillis == report.m_capacity.m_cpuMillis;
     const bool isNewHost = isSpread && m_mechanisms.Has(Mechanism::kSharing) &&
-                           !room.m_hostsLongRunning;
+                           !target.m_hostsLongRunning;
     const bool isPacked = !isSpread && m_mechanisms.Has(Mechanism::kPacking);
-    const std::int64_t left = room.m_cpu - aStep.CountedCpu();
-    const auto rank = std::make_tuple(farFromData,
-                                      disturbs,
+    const std::int64_t cpuLeft = target.m_freeCpuMillis - aStep.CountedCpu();
+    const auto rank = std::make_tuple(isFarFromData,
+                                      interferes,
                                       isCrowded,
                                       isNewHost,
                                       isEmpty,
-                                      isPacked ? left : -left);
+                                      isPacked ? cpuLeft : -cpuLeft);
     if (best == nullptr || rank < bestRank) {
-      best = &room;
+      best = &target;
       bestRank = rank;
     }
   }
   return best;
 }
 
-// A large task that finds no room would wait for ever while small ones take
-// each piece that becomes free; so it gets the emptiest worker to itself.
+// A large task that does not fit would starve, because small tasks take all
+// capacity that becomes free, so the emptiest worker is reserved for it.
 void
-Planner::KeepEmptiest(const jobs::StepSpec& aStep, Pool& aPool) const
+Planner::ReserveEmptiest(const jobs::StepSpec& aStep, Pool& aPool) const
 {
   if (!m_mechanisms.Has(Mechanism::kRoomForLarge)) {
     return;
   }
-  const auto kept = static_cast<std::size_t>(
-    std::count_if(aPool.begin(), aPool.end(), [](const Room& aRoom) {
-      return aRoom.m_kept;
+  const auto reserved = static_cast<std::size_t>(
+    std::count_if(aPool.begin(), aPool.end(), [](const Target& aTarget) {
+      return aTarget.m_isReserved;
     }));
-  const std::size_t most = std::max<std::size_t>(1, aPool.size() / kKeptShare);
-  if (aPool.size() < kLeastPoolToKeep || kept >= most) {
+  const std::size_t maxReserved =
+    std::max<std::size_t>(1, aPool.size() / kWorkersPerReservation);
+  if (aPool.size() < kMinPoolSizeForReservation || reserved >= maxReserved) {
     return;
   }
-  const auto rank = [](const Room& aRoom) {
-    return std::make_pair(!aRoom.m_kept, aRoom.m_cpu);
+  const auto rank = [](const Target& aTarget) {
+    return std::make_pair(!aTarget.m_isReserved, aTarget.m_freeCpuMillis);
   };
-  Room& emptiest = *std::max_element(
-    aPool.begin(), aPool.end(), [&](const Room& aLeft, const Room& aRight) {
+  Target& emptiest = *std::max_element(
+    aPool.begin(), aPool.end(), [&](const Target& aLeft, const Target& aRight) {
       return rank(aLeft) < rank(aRight);
     });
-  const jobs::Resources& all = emptiest.m_worker->m_last.m_capacity;
+  const jobs::Resources& capacity = emptiest.m_worker->m_last.m_capacity;
   const jobs::Resources& needs = aStep.m_needs;
-  // One whose room has shrunk may be too small even when it is empty.
-  if (!RoomUse{}.Leaves(all, aStep)) {
+  // A worker whose capacity has shrunk may be too small even when empty.
+  if (!RoomUse{}.Leaves(capacity, aStep)) {
     return;
   }
-  emptiest.m_kept = aStep.CountedCpu() * kLargeShare > all.m_cpuMillis ||
-                    needs.m_memoryMb * kLargeShare > all.m_memoryMb ||
-                    needs.m_accelerators > 0;
+  emptiest.m_isReserved =
+    aStep.CountedCpu() * kLargeTaskDivisor > capacity.m_cpuMillis ||
+    needs.m_memoryMb * kLargeTaskDivisor > capacity.m_memoryMb ||
+    needs.m_accelerators > 0;
 }
 
 void
@@ -307,31 +324,31 @@
   }
   const auto found =
     aCandidate.m_job->m_occurrences.find(aCandidate.m_occurrence);
-  static const jobs::Task kUntouched;
-  OnWorkers onWorker;
+  static const jobs::Task kNeverStarted;
+  TasksPerWorker tasksPerWorker;
   const bool isNew = found == aCandidate.m_job->m_occurrences.end();
   const std::vector<jobs::Task>* tasks =
     isNew ? nullptr : &found->second.m_steps[aCandidate.m_step].m_tasks;
   if ((step.m_maxPerWorker > 0 || step.m_longRunning) && tasks != nullptr) {
-    onWorker = CountOnWorkers(*tasks);
+    tasksPerWorker = CountTasksPerWorker(*tasks);
   }
   for (std::uint32_t i = 0; i < step.m_count; ++i) {
-    const jobs::Task& task = tasks == nullptr ? kUntouched : (*tasks)[i];
+    const jobs::Task& task = tasks == nullptr ? kNeverStarted : (*tasks)[i];
     if (task.m_phase != jobs::TaskPhase::kWaiting ||
         jobs::IsSuspect(task.m_losses)) {
       continue;
     }
-    Room* room = Choose(step, onWorker, aPool);
-    if (room == nullptr) {
-      if (!aCandidate.m_late) {
-        KeepEmptiest(step, aPool);
+    Target* target = Choose(step, tasksPerWorker, aPool);
+    if (target == nullptr) {
+      if (!aCandidate.m_isLate) {
+        ReserveEmptiest(step, aPool);
       }
       return;
     }
-    room->Take(step);
-    ++room->m_unshown;
-    const WorkerLife& worker = room->m_worker->m_last.m_worker;
-    ++onWorker[worker];
+    target->Allocate(step);
+    ++target->m_unconfirmed;
+    const WorkerLife& worker = target->m_worker->m_last.m_worker;
+    ++tasksPerWorker[worker];
     aPlan.m_changes.emplace_back(jobs::StartRun{
       { aCandidate.m_job->m_id, aCandidate.m_occurrence, aCandidate.m_step, i },
       RunNumber{ task.m_lastRun.Get() + 1 },
@@ -339,11 +356,11 @@
   }
 }
 
-// All members at once or none: a member that waits for the others holds its
-// room for nothing.
+// Starts all members of the gang or none: a member that waits for the others
+// would hold its capacity without using it.
 void
 Planner::PlaceGang(const Candidate& aCandidate,
-                   std::optional<Millis> aWaited,
+                   std::optional<Millis> aTimeSinceDelay,
                    Pool& aPool,
                    Plan& aPlan) const
 {
@@ -351,53 +368,58 @@
     aCandidate.m_job->m_spec.m_steps[aCandidate.m_step];
   const auto found =
     aCandidate.m_job->m_occurrences.find(aCandidate.m_occurrence);
-  RunNumber last;
+  RunNumber lastRun;
   std::vector<jobs::WorkerLoss> losses;
   if (found != aCandidate.m_job->m_occurrences.end()) {
     const jobs::StepRun& state = found->second.m_steps[aCandidate.m_step];
     losses = jobs::LossesOf(step, state, 0);
-    if (state.m_running > 0 || jobs::IsSuspect(losses) != aWaited.has_value()) {
+    if (state.m_running > 0 ||
+        jobs::IsSuspect(losses) != aTimeSinceDelay.has_value()) {
       return;
     }
     for (const jobs::Task& task : state.m_tasks) {
-      last = std::max(last, task.m_lastRun);
+      lastRun = std::max(lastRun, task.m_lastRun);
     }
   }
-  Pool trial = aPool;
-  OnWorkers onWorker;
+  Pool tentativePool = aPool;
+  TasksPerWorker tasksPerWorker;
   std::vector<jobs::Change> starts;
   for (std::uint32_t i = 0; i < step.m_count; ++i) {
-    Room* room =
-      aWaited
-        ? ChooseForTrial(
-            *aCandidate.m_job, step, losses, onWorker, *aWaited, false, trial)
-        : Choose(step, onWorker, trial);
-    if (room == nullptr) {
+    Target* target = aTimeSinceDelay
+                       ? ChooseForIsolatedRun(*aCandidate.m_job,
+                                              step,
+                                              losses,
+                                              tasksPerWorker,
+                                              *aTimeSinceDelay,
+                                              false,
+                                              tentativePool)
+                       : Choose(step, tasksPerWorker, tentativePool);
+    if (target == nullptr) {
       return;
     }
-    room->Take(step);
-    ++room->m_unshown;
-    if (aWaited) {
-      room->AddTrialOf(*aCandidate.m_job, false);
+    target->Allocate(step);
+    ++target->m_unconfirmed;
+    if (aTimeSinceDelay) {
+      target->AddIsolatedRunOf(*aCandidate.m_job, false);
     }
-    const WorkerLife& worker = room->m_worker->m_last.m_worker;
-    ++onWorker[worker];
+    const WorkerLife& worker = target->m_worker->m_last.m_worker;
+    ++tasksPerWorker[worker];
     starts.emplace_back(jobs::StartRun{
       { aCandidate.m_job->m_id, aCandidate.m_occurrence, aCandidate.m_step, i },
-      RunNumber{ last.Get() + 1 },
+      RunNumber{ lastRun.Get() + 1 },
       worker });
   }
-  aPool = std::move(trial);
+  aPool = std::move(tentativePool);
   std::move(starts.begin(), starts.end(), std::back_inserter(aPlan.m_changes));
 }
 
 bool
-Planner::MayLeave(const jobs::TaskRef& aTask,
-                  const fleet::State& aState,
-                  const WorkerTable& aWorkers,
-                  const Worker& aFrom,
-                  TimePoint aNow,
-                  const Plan& aPlan)
+Planner::MayMoveAway(const jobs::TaskRef& aTask,
+                     const fleet::State& aState,
+                     const WorkerTable& aWorkers,
+                     const Worker& aFrom,
+                     TimePoint aNow,
+                     const Plan& aPlan)
 {
   const jobs::Job& job = *aState.Jobs().Find(aTask.m_job);
   const jobs::Task& task = *aState.Jobs().FindTask(aTask);
@@ -413,34 +435,34 @@
   if (!isMovable || !isFirstOfStep) {
     return false;
   }
-  // The worker of one that drains goes anyway; but where another task of
-  // the step is under orders to stop, both would be away at once.
+  // A draining worker leaves anyway, so its tasks may always be moved, unless
+  // another task of the step is being stopped: both would be down at once.
   return aFrom.m_last.m_draining ? !aWorkers.IsAnyStopping(job, aTask)
                                  : aWorkers.MayDisrupt(job, aTask, aNow);
 }
 
-Planner::OnWorkers
-Planner::CountOnWorkers(const std::vector<jobs::Task>& aTasks)
+Planner::TasksPerWorker
+Planner::CountTasksPerWorker(const std::vector<jobs::Task>& aTasks)
 {
-  OnWorkers onWorkers;
+  TasksPerWorker tasksPerWorker;
   for (const jobs::Task& task : aTasks) {
     if (task.m_phase == jobs::TaskPhase::kRunning) {
-      ++onWorkers[task.m_worker];
+      ++tasksPerWorker[task.m_worker];
     }
   }
-  return onWorkers;
+  return tasksPerWorker;
 }
 
-// A long-running task leaves a worker that goes away before it goes: the stop
-// is ordered only where another worker may take it, so that the task is back
-// within about a second.
+// Moves long-running tasks off draining and cordoned workers before these leave
+// the pool. A stop is ordered only if another worker can take the task, so that
+// the task runs again within about a second.
 void
-Planner::MoveLongRunning(const fleet::State& aState,
-                         const WorkerTable& aWorkers,
-                         const std::set<WorkerLife>& aCordoned,
-                         TimePoint aNow,
-                         Pools& aPools,
-                         Plan& aPlan) const
+Planner::MoveLongRunningTasks(const fleet::State& aState,
+                              const WorkerTable& aWorkers,
+                              const std::set<WorkerLife>& aCordoned,
+                              TimePoint aNow,
+                              Pools& aPools,
+                              Plan& aPlan) const
 {
   const jobs::Book& book = aState.Jobs();
   for (const auto& [worker, tasks] : book.Placed()) {
@@ -451,17 +473,17 @@
       continue;
     }
     for (const jobs::TaskRef& ref : tasks) {
-      if (!MayLeave(ref, aState, aWorkers, *from, aNow, aPlan)) {
+      if (!MayMoveAway(ref, aState, aWorkers, *from, aNow, aPlan)) {
         continue;
       }
       const jobs::Job& job = *book.Find(ref.m_job);
       const jobs::StepSpec& step = job.m_spec.m_steps[ref.m_step];
       const auto& tasksOfStep =
         job.m_occurrences.at(ref.m_occurrence).m_steps[ref.m_step].m_tasks;
-      Room* room = Choose(
-        step, CountOnWorkers(tasksOfStep), aPools[from->m_last.m_service]);
-      if (room != nullptr) {
-        room->Take(step);
+      Target* target = Choose(
+        step, CountTasksPerWorker(tasksOfStep), aPools[from->m_last.m_service]);
+      if (target != nullptr) {
+        target->Allocate(step);
         aPlan.m_stops.push_back({ ref, book.FindTask(ref)->m_lastRun });
       }
     }
@@ -476,25 +498,30 @@
               WallTime aWall)
 {
   Plan plan;
-  Pools pools = FindRoom(aState, aWorkers, aCordoned, aNow);
+  Pools pools = FindTargets(aState, aWorkers, aCordoned, aNow);
   const std::vector<Candidate> candidates = FindCandidates(aState, aWall);
-  const auto lasting =
-    std::find_if(candidates.cbegin(),
-                 candidates.cend(),
-                 [](const Candidate& aOne) { return !aOne.m_isLongRunning; });
-  const bool isCalm = !aState.Jobs().LostWithWorkers().empty() &&
-                      aWorkers.IsCalm(aState.Jobs(), aNow);
+  const auto firstNotLongRunning = std::find_if(
+    candidates.cbegin(), candidates.cend(), [](const Candidate& aCandidate) {
+      return !aCandidate.m_isLongRunning;
+    });
+  const bool isQuietPeriod = !aState.Jobs().LostWithWorkers().empty() &&
+                             aWorkers.IsCalm(aState.Jobs(), aNow);
   const auto placeAll = [&](auto aFrom, auto aTo) {
     for (auto it = aFrom; it != aTo; ++it) {
       Place(*it, pools[it->m_route->m_service], plan);
     }
-    for (const Candidate& one : OrderForTrials(aFrom, aTo, aState.Jobs())) {
-      PlaceTrial(one, isCalm, aWall, pools[one.m_route->m_service], plan);
+    for (const Candidate& candidate :
+         OrderSuspects(aFrom, aTo, aState.Jobs())) {
+      PlaceSuspects(candidate,
+                    isQuietPeriod,
+                    aWall,
+                    pools[candidate.m_route->m_service],
+                    plan);
     }
   };
-  placeAll(candidates.cbegin(), lasting);
-  MoveLongRunning(aState, aWorkers, aCordoned, aNow, pools, plan);
-  placeAll(lasting, candidates.cend());
+  placeAll(candidates.cbegin(), firstNotLongRunning);
+  MoveLongRunningTasks(aState, aWorkers, aCordoned, aNow, pools, plan);
+  placeAll(firstNotLongRunning, candidates.cend());
   return plan;
 }
 
--- a/src/placement/trials.cpp
+++ b/src/placement/trials.cpp
@@ -10,162 +10,175 @@
 
 namespace {
 
-/** Of a pool's workers, one in so many at most may be lost to trials of a kind
- * at a time: the others go on with sound work. */
-constexpr std::size_t kTrialShare = 2;
-/** After that, longer than an instance takes to be moved in, a trial also takes
- * a worker with long-running tasks or a gang; pools that have no other worker
- * would never try. */
-constexpr Millis kFragilePatience{ 3000 };
-/** After that a trial of a long-running task also goes where the task was lost
- * before; */
-constexpr Millis kTrialPatience{ 1000 };
-/** and of any other: all other workers may be taken for good. */
-constexpr Millis kElsewherePatience{ 5000 };
+/** At most one worker of a pool per this many has isolated runs of one kind,
+ * shared or not, at a time: they may crash it, and the other workers go on with
+ * healthy work. */
+constexpr std::size_t kIsolationDivisor = 2;
+/** Time after the retry delay from which an isolated run may use a worker that
+ * hosts long-running tasks or a gang; otherwise pools without other workers
+ * would never run the suspect. Moving an instance into the pool takes less. */
+constexpr Millis kFragileWorkerTimeout{ 3000 };
+/** Time after the retry delay from which a long-running task may run in
+ * isolation on an instance on which it was lost before. */
+constexpr Millis kLongRunningSameInstanceTimeout{ 1000 };
+/** The same time for all other tasks. The other instances may be occupied
+ * indefinitely. */
+constexpr Millis kSameInstanceTimeout{ 5000 };
 
 } // namespace
 
 bool
-Planner::Room::IsOpenToTrialOf(const jobs::Job& aJob, bool aIsJoint) const
+Planner::Target::AcceptsIsolatedRunOf(const jobs::Job& aJob,
+                                      bool aIsShared) const
 {
-  if (m_trialOf == nullptr) {
-    return m_unshown == 0;
+  if (m_isolatedJob == nullptr) {
+    return m_unconfirmed == 0;
   }
-  return aIsJoint ? m_isJoint : !m_isJoint && m_trialOf == &aJob;
+  return aIsShared ? m_isShared : !m_isShared && m_isolatedJob == &aJob;
 }
 
 void
-Planner::Room::AddTrialOf(const jobs::Job& aJob, bool aIsJoint)
+Planner::Target::AddIsolatedRunOf(const jobs::Job& aJob, bool aIsShared)
 {
-  m_isJoint = aIsJoint && (m_trialOf == nullptr || m_isJoint);
-  m_trialOf = &aJob;
+  m_isShared = aIsShared && (m_isolatedJob == nullptr || m_isShared);
+  m_isolatedJob = &aJob;
 }
 
 void
-Planner::FindTrials(const Worker& aWorker,
-                    const std::vector<jobs::TaskRef>& aPlaced,
-                    const jobs::Book& aBook,
-                    Room& aRoom) const
+Planner::FindIsolatedRuns(const Worker& aWorker,
+                          const std::vector<jobs::TaskRef>& aPlaced,
+                          const jobs::Book& aBook,
+                          Target& aTarget) const
 {
   for (const jobs::TaskRef& ref : aPlaced) {
     const jobs::Task& task = *aBook.FindTask(ref);
     const auto losses = aBook.LossesOf(ref);
-    const bool isShown = Contains(aWorker.m_last.m_active, ref, task.m_lastRun);
-    aRoom.m_unshown += isShown ? 0 : 1;
+    const bool isConfirmed =
+      Contains(aWorker.m_last.m_active, ref, task.m_lastRun);
+    aTarget.m_unconfirmed += isConfirmed ? 0 : 1;
     const bool isOnTrial =
-      isShown ? jobs::IsTriedThroughout(losses) : jobs::IsSuspect(losses);
+      isConfirmed ? jobs::IsTriedThroughout(losses) : jobs::IsSuspect(losses);
     if (isOnTrial) {
       const jobs::Job& job = *aBook.Find(ref.m_job);
-      const bool isJoint =
+      const bool isShared =
         jobs::MayBeTriedTogether(losses) && !StepOf(job, ref).m_gang;
-      aRoom.AddTrialOf(job, isJoint);
+      aTarget.AddIsolatedRunOf(job, isShared);
     }
   }
 }
 
-// A trial that ends its worker should take little with it, and prove something:
-// nothing else is started there until a report shows the run. An instance that
-// crashes under whatever it starts is always the emptiest, so a trial goes
-// where the task has not been lost yet, as long as the pool has such instances
-// that may run it.
-Planner::Room*
-Planner::ChooseForTrial(const jobs::Job& aJob,
-                        const jobs::StepSpec& aStep,
-                        const std::vector<jobs::WorkerLoss>& aLosses,
-                        const OnWorkers& aOnWorker,
-                        Millis aWaited,
-                        bool aIsJoint,
-                        Pool& aPool) const
+// An isolated run that crashes its worker should stop little other work and be
+// conclusive, so nothing else is started there until a report confirms the run.
+// An instance that crashes under every task is always the emptiest. Therefore
+// an isolated run prefers instances on which the task has not been lost yet, as
+// long as the pool has such instances that may run it.
+Planner::Target*
+Planner::ChooseForIsolatedRun(const jobs::Job& aJob,
+                              const jobs::StepSpec& aStep,
+                              const std::vector<jobs::WorkerLoss>& aLosses,
+                              const TasksPerWorker& aTasksPerWorker,
+                              Millis aTimeSinceDelay,
+                              bool aIsShared,
+                              Pool& aPool) const
 {
-  const auto isKnown = [&](const Room& aRoom) {
-    return jobs::WasLostOn(aLosses, aRoom.m_worker->m_last.m_instance);
+  const auto wasLostOnInstance = [&](const Target& aTarget) {
+    return jobs::WasLostOn(aLosses, aTarget.m_worker->m_last.m_instance);
   };
-  const auto isFragile = [](const Room& aRoom) {
-    return aRoom.m_hostsLongRunning || aRoom.m_hostsGang;
+  const auto isFragile = [](const Target& aTarget) {
+    return aTarget.m_hostsLongRunning || aTarget.m_hostsGang;
   };
-  const auto rank = [&](const Room& aRoom) {
-    return std::make_tuple(
-      !aRoom.m_isJoint, isKnown(aRoom), isFragile(aRoom), aRoom.m_runs);
+  const auto rank = [&](const Target& aTarget) {
+    return std::make_tuple(!aTarget.m_isShared,
+                           wasLostOnInstance(aTarget),
+                           isFragile(aTarget),
+                           aTarget.m_runs);
   };
-  const bool takesFragile = aStep.m_longRunning || aWaited >= kFragilePatience;
-  const bool takesKnown =
-    aWaited >= (aStep.m_longRunning ? kTrialPatience : kElsewherePatience) ||
-    std::none_of(aPool.begin(), aPool.end(), [&](const Room& aRoom) {
-      return !isKnown(aRoom) && MayEverRun(aStep, aOnWorker, aRoom);
+  const bool allowsFragile =
+    aStep.m_longRunning || aTimeSinceDelay >= kFragileWorkerTimeout;
+  const bool allowsSameInstance =
+    aTimeSinceDelay >= (aStep.m_longRunning ? kLongRunningSameInstanceTimeout
+                                            : kSameInstanceTimeout) ||
+    std::none_of(aPool.begin(), aPool.end(), [&](const Target& aTarget) {
+      return !wasLostOnInstance(aTarget) &&
+             IsEligible(aStep, aTasksPerWorker, aTarget);
     });
-  const bool mayOpen =
-    !aIsJoint || CountTrials(aPool, true) < MostTrials(aPool);
-  Room* best = nullptr;
-  for (Room& room : aPool) {
-    const bool isSpared = room.m_trialOf == nullptr &&
-                          (!mayOpen || (isFragile(room) && !takesFragile) ||
-                           (isKnown(room) && !takesKnown));
-    if (isSpared || !room.IsOpenToTrialOf(aJob, aIsJoint) ||
-        !room.Fits(aStep) || !MayEverRun(aStep, aOnWorker, room)) {
+  const bool mayIsolateAnother =
+    !aIsShared || CountIsolatedWorkers(aPool, true) < MaxIsolatedWorkers(aPool);
+  Target* best = nullptr;
+  for (Target& target : aPool) {
+    const bool isExcluded =
+      target.m_isolatedJob == nullptr &&
+      (!mayIsolateAnother || (isFragile(target) && !allowsFragile) ||
+       (wasLostOnInstance(target) && !allowsSameInstance));
+    if (isExcluded || !target.AcceptsIsolatedRunOf(aJob, aIsShared) ||
+        !target.Fits(aStep) || !IsEligible(aStep, aTasksPerWorker, target)) {
       continue;
     }
-    if (best == nullptr || rank(room) < rank(*best)) {
-      best = &room;
+    if (best == nullptr || rank(target) < rank(*best)) {
+      best = &target;
     }
   }
   return best;
 }
 
 bool
-Planner::MayEverRun(const jobs::StepSpec& aStep,
-                    const OnWorkers& aOnWorker,
-                    const Room& aRoom)
+Planner::IsEligible(const jobs::StepSpec& aStep,
+                    const TasksPerWorker& aTasksPerWorker,
+                    const Target& aTarget)
 {
-  const WorkerReport& report = aRoom.m_worker->m_last;
-  return IsAllowed(aStep, CountOn(report.m_worker, aOnWorker), aRoom) &&
+  const WorkerReport& report = aTarget.m_worker->m_last;
+  return IsAllowed(
+           aStep, TasksOnWorker(report.m_worker, aTasksPerWorker), aTarget) &&
          RoomUse{}.Leaves(report.m_capacity, aStep);
 }
 
 std::size_t
-Planner::CountTrials(const Pool& aPool, bool aIsJoint)
+Planner::CountIsolatedWorkers(const Pool& aPool, bool aIsShared)
 {
   return static_cast<std::size_t>(
-    std::count_if(aPool.begin(), aPool.end(), [&](const Room& aRoom) {
-      return aRoom.m_trialOf != nullptr && aRoom.m_isJoint == aIsJoint;
+    std::count_if(aPool.begin(), aPool.end(), [&](const Target& aTarget) {
+      return aTarget.m_isolatedJob != nullptr &&
+             aTarget.m_isShared == aIsShared;
     }));
 }
 
 std::size_t
-Planner::MostTrials(const Pool& aPool)
+Planner::MaxIsolatedWorkers(const Pool& aPool)
 {
-  return std::max<std::size_t>(1, aPool.size() / kTrialShare);
+  return std::max<std::size_t>(1, aPool.size() / kIsolationDivisor);
 }
 
 bool
-Planner::MayTry(const jobs::Job& aJob, bool aIsJoint, const Pool& aPool)
+Planner::MayIsolate(const jobs::Job& aJob, bool aIsShared, const Pool& aPool)
 {
-  if (aIsJoint) {
+  if (aIsShared) {
     return true;
   }
-  return CountTrials(aPool, false) < MostTrials(aPool) &&
-         std::none_of(aPool.begin(), aPool.end(), [&](const Room& aRoom) {
-           return aRoom.m_trialOf == &aJob && !aRoom.m_isJoint;
+  return CountIsolatedWorkers(aPool, false) < MaxIsolatedWorkers(aPool) &&
+         std::none_of(aPool.begin(), aPool.end(), [&](const Target& aTarget) {
+           return aTarget.m_isolatedJob == &aJob && !aTarget.m_isShared;
          });
 }
 
-// A time of day that jumps back must not hold a task for long.
+// If the wall clock was set back, the delay counts as ended, so that the task
+// is not held up for long.
 std::optional<Millis>
-Planner::WaitedForTrial(const jobs::TaskRef& aTask,
-                        const std::vector<jobs::WorkerLoss>& aLosses,
-                        WallTime aWall)
+Planner::TimeSinceRetryDelay(const jobs::TaskRef& aTask,
+                             const std::vector<jobs::WorkerLoss>& aLosses,
+                             WallTime aWall)
 {
-  const Millis since{ aWall.Get() - aLosses.back().m_at.Get() };
+  const Millis sinceLoss{ aWall.Get() - aLosses.back().m_at.Get() };
   const Millis delay = ToMillis(jobs::RetryDelay(aTask, aLosses));
-  if (since < Millis::zero()) {
+  if (sinceLoss < Millis::zero()) {
     return Millis::zero();
   }
-  return since < delay ? std::nullopt : std::optional{ since - delay };
+  return sinceLoss < delay ? std::nullopt : std::optional{ sinceLoss - delay };
 }
 
-std::vector<Planner::Suspect>
+std::vector<Planner::SuspectTask>
 Planner::FindSuspects(const Candidate& aCandidate)
 {
-  std::vector<Suspect> suspects;
+  std::vector<SuspectTask> suspects;
   const jobs::Job& job = *aCandidate.m_job;
   const auto found = job.m_occurrences.find(aCandidate.m_occurrence);
   if (found == job.m_occurrences.end()) {
@@ -182,19 +195,20 @@
   }
   std::stable_sort(suspects.begin(),
                    suspects.end(),
-                   [](const Suspect& aLeft, const Suspect& aRight) {
+                   [](const SuspectTask& aLeft, const SuspectTask& aRight) {
                      return aLeft.m_losses.size() < aRight.m_losses.size();
                    });
   return suspects;
 }
 
-// A task that was only beside a crash passes its trial at once; one that
-// crashes its workers takes each for seconds. Those with the fewest losses go
-// first, or the others would be tried again and again before them.
+// A task that merely shared a worker with a crashing one passes its isolated
+// run at once, whereas a task that crashes its workers occupies each for
+// seconds. Tasks with the fewest losses go first; otherwise crashing tasks
+// would be retried before them again and again.
 std::vector<Planner::Candidate>
-Planner::OrderForTrials(std::vector<Candidate>::const_iterator aFrom,
-                        std::vector<Candidate>::const_iterator aTo,
-                        const jobs::Book& aBook)
+Planner::OrderSuspects(std::vector<Candidate>::const_iterator aFrom,
+                       std::vector<Candidate>::const_iterator aTo,
+                       const jobs::Book& aBook)
 {
   std::multimap<std::size_t, Candidate> ordered;
   for (auto it = aFrom; it != aTo; ++it) {
@@ -214,11 +228,11 @@
 }
 
 void
-Planner::PlaceTrial(const Candidate& aCandidate,
-                    bool aIsCalm,
-                    WallTime aWall,
-                    Pool& aPool,
-                    Plan& aPlan) const
+Planner::PlaceSuspects(const Candidate& aCandidate,
+                       bool aIsQuietPeriod,
+                       WallTime aWall,
+                       Pool& aPool,
+                       Plan& aPlan) const
 {
   const jobs::Job& job = *aCandidate.m_job;
   const jobs::StepSpec& step = job.m_spec.m_steps[aCandidate.m_step];
@@ -227,35 +241,35 @@
     return;
   }
   const jobs::StepRun& run = found->second.m_steps[aCandidate.m_step];
-  OnWorkers onWorker = CountOnWorkers(run.m_tasks);
+  TasksPerWorker tasksPerWorker = CountTasksPerWorker(run.m_tasks);
   for (const auto& [index, losses] : FindSuspects(aCandidate)) {
     const jobs::TaskRef ref{
       job.m_id, aCandidate.m_occurrence, aCandidate.m_step, index
     };
-    if (jobs::NeedsCalm(losses) && !aIsCalm) {
+    if (jobs::NeedsCalm(losses) && !aIsQuietPeriod) {
       continue;
     }
-    const auto waited = WaitedForTrial(ref, losses, aWall);
-    const bool isJoint = jobs::MayBeTriedTogether(losses) && !step.m_gang;
-    if (!waited || !MayTry(job, isJoint, aPool)) {
+    const auto timeSinceDelay = TimeSinceRetryDelay(ref, losses, aWall);
+    const bool isShared = jobs::MayBeTriedTogether(losses) && !step.m_gang;
+    if (!timeSinceDelay || !MayIsolate(job, isShared, aPool)) {
       continue;
     }
     if (step.m_gang) {
-      PlaceGang(aCandidate, waited, aPool, aPlan);
+      PlaceGang(aCandidate, timeSinceDelay, aPool, aPlan);
       return;
     }
-    Room* room =
-      ChooseForTrial(job, step, losses, onWorker, *waited, isJoint, aPool);
-    if (room == nullptr) {
+    Target* target = ChooseForIsolatedRun(
+      job, step, losses, tasksPerWorker, *timeSinceDelay, isShared, aPool);
+    if (target == nullptr) {
       return;
     }
-    const WorkerLife& worker = room->m_worker->m_last.m_worker;
-    room->Take(step);
-    room->AddTrialOf(job, isJoint);
-    ++onWorker[worker];
+    const WorkerLife& worker = target->m_worker->m_last.m_worker;
+    target->Allocate(step);
+    target->AddIsolatedRunOf(job, isShared);
+    ++tasksPerWorker[worker];
     aPlan.m_changes.emplace_back(jobs::StartRun{
       ref, RunNumber{ run.m_tasks[index].m_lastRun.Get() + 1 }, worker });
-    if (!isJoint) {
+    if (!isShared) {
       return;
     }
   }
--- a/tests/unit/placement/plan_pacer_test.cpp
+++ b/tests/unit/placement/plan_pacer_test.cpp
@@ -7,17 +7,17 @@
 
 TEST_GROUP(PlanPacer)
 {
-  struct Second
+  struct BusySecond
   {
     int m_passes = 0;
-    Duration m_inPasses{};
+    Duration m_timeInPasses{};
   };
 
-  /** One second in which ends wait whenever a batch has been committed. */
-  static Second Busy(Duration aPass, Duration aBatch)
+  /** Simulates a second in which more ends wait after each committed batch. */
+  static BusySecond SimulateSecond(Duration aPass, Duration aBatch)
   {
     PlanPacer pacer;
-    Second second;
+    BusySecond second;
     TimePoint now{ std::chrono::hours{ 1 } };
     const TimePoint end = now + std::chrono::seconds{ 1 };
     while (now < end) {
@@ -25,7 +25,7 @@
         pacer.OnPlanned(now, now + aPass);
         now += aPass;
         ++second.m_passes;
-        second.m_inPasses += aPass;
+        second.m_timeInPasses += aPass;
       }
       now += aBatch;
     }
@@ -33,23 +33,24 @@
   }
 };
 
-// Workers tell of ends without a pause. Each waits for its next task until a
-// pass has seen its end, so passes must not wait until no end is left: with
-// batches of 10 ms there is one every 24 ms or sooner.
-TEST(PlanPacer, EndsWithoutPause_PassesGoOn)
+// Guards against passes that wait until no end is left while workers report
+// ends continuously: each worker waits for its next task until a pass has seen
+// its end. With batches of 10 ms there must be a pass at least every 24 ms.
+TEST(PlanPacer, ContinuousEnds_PassesContinue)
 {
-  const Second grown = Busy(Millis{ 6 }, Millis{ 10 });
+  const BusySecond grown = SimulateSecond(Millis{ 6 }, Millis{ 10 });
   CHECK(grown.m_passes >= 36);
-  const Second small = Busy(std::chrono::microseconds{ 300 }, Millis{ 7 });
+  const BusySecond small =
+    SimulateSecond(std::chrono::microseconds{ 300 }, Millis{ 7 });
   CHECK(small.m_passes >= 130);
 }
 
-// With several thousand workers a pass takes longer than a batch; it must leave
-// the leader time to take reports.
+// Guards against passes that leave the leader no time for reports: with several
+// thousand workers a pass takes longer than a batch.
 TEST(PlanPacer, LongPasses_LeaveMostOfTheTime)
 {
-  const Second second = Busy(Millis{ 60 }, Millis{ 10 });
-  CHECK(second.m_inPasses <= Millis{ 300 });
+  const BusySecond second = SimulateSecond(Millis{ 60 }, Millis{ 10 });
+  CHECK(second.m_timeInPasses <= Millis{ 300 });
 }
 
 TEST(PlanPacer, NoMoreEnds_IsDueAtOnce)
@@ -61,7 +62,7 @@
   CHECK(pacer.IsDue(false, now + Millis{ 6 }));
 }
 
-TEST(PlanPacer, FullLeader_PassesTakeHalfAsMuchTime)
+TEST(PlanPacer, SheddingLeader_PassesTakeHalfAsMuchTime)
 {
   PlanPacer pacer;
   const TimePoint now{ std::chrono::hours{ 1 } };
--- a/tests/unit/placement/rooms_test.cpp
+++ b/tests/unit/placement/rooms_test.cpp
@@ -13,27 +13,29 @@
 namespace {
 
 std::uint32_t
-Below(std::minstd_rand& aRandom, std::uint32_t aLimit)
+RandomBelow(std::minstd_rand& aRandom, std::uint32_t aLimit)
 {
   return static_cast<std::uint32_t>(aRandom()) % aLimit;
 }
 
 } // namespace
 
-TEST_GROUP(Rooms){ static StepSpec Of(std::uint32_t aCount, Resources aNeeds){
-  StepSpec step = Step(aCount);
+TEST_GROUP(WorkerCapacityLimit){
+  static StepSpec StepWithNeeds(std::uint32_t aCount,
+                                Resources aNeeds){ StepSpec step = Step(aCount);
 step.m_needs = aNeeds;
 return step;
 }
 
-/** A job of any kind, with needs of any shape. */
+/** A job with a random kind of step and random needs. */
 static JobSpec
-AnyJob(std::minstd_rand& aRandom)
+RandomJob(std::minstd_rand& aRandom)
 {
-  const std::uint32_t cpu = 500 + Below(aRandom, 6000);
-  const std::uint32_t memory = 100 + Below(aRandom, 12'000);
-  StepSpec step = Of(1 + Below(aRandom, 6), { cpu, memory, Below(aRandom, 3) });
-  switch (Below(aRandom, 6)) {
+  const std::uint32_t cpu = 500 + RandomBelow(aRandom, 6000);
+  const std::uint32_t memory = 100 + RandomBelow(aRandom, 12'000);
+  StepSpec step = StepWithNeeds(1 + RandomBelow(aRandom, 6),
+                                { cpu, memory, RandomBelow(aRandom, 3) });
+  switch (RandomBelow(aRandom, 6)) {
     case 0:
       step.m_longRunning = true;
       break;
@@ -46,41 +48,41 @@
     default:
       break;
   }
-  step.m_estimate = Millis{ 300 + Below(aRandom, 3000) };
+  step.m_estimate = Millis{ 300 + RandomBelow(aRandom, 3000) };
   return Spec({ step, Step(2, 2000) });
 }
 
 static Resources
-AnyRoom(std::minstd_rand& aRandom)
+RandomCapacity(std::minstd_rand& aRandom)
 {
-  return { 4000 + Below(aRandom, 12'000),
-           8000 + Below(aRandom, 24'000),
-           Below(aRandom, 5) };
+  return { 4000 + RandomBelow(aRandom, 12'000),
+           8000 + RandomBelow(aRandom, 24'000),
+           RandomBelow(aRandom, 5) };
 }
 
 static void
-Disturb(SimulatedPool& aPool,
-        const PoolOptions& aOptions,
-        std::minstd_rand& aRandom)
+InjectFault(SimulatedPool& aPool,
+            const PoolOptions& aOptions,
+            std::minstd_rand& aRandom)
 {
-  const std::uint32_t worker = Below(aRandom, aOptions.m_workers);
-  switch (Below(aRandom, 8)) {
+  const std::uint32_t worker = RandomBelow(aRandom, aOptions.m_workers);
+  switch (RandomBelow(aRandom, 8)) {
     case 0:
     case 1:
-      aPool.Resize(worker, AnyRoom(aRandom));
+      aPool.Resize(worker, RandomCapacity(aRandom));
       break;
     case 2:
-      aPool.CrashWorker(worker, Millis{ 300 + Below(aRandom, 3000) });
+      aPool.CrashWorker(worker, Millis{ 300 + RandomBelow(aRandom, 3000) });
       break;
     case 3:
-      aPool.CutWorker(worker, Millis{ 500 + Below(aRandom, 6000) });
+      aPool.CutWorker(worker, Millis{ 500 + RandomBelow(aRandom, 6000) });
       break;
     case 4:
-      aPool.DelayReport(worker, Millis{ Below(aRandom, 2900) });
+      aPool.DelayReport(worker, Millis{ RandomBelow(aRandom, 2900) });
       break;
     case 5:
-      if (Below(aRandom, 4) == 0) {
-        aPool.ReplaceLeader(Millis{ 300 + Below(aRandom, 1500) });
+      if (RandomBelow(aRandom, 4) == 0) {
+        aPool.ReplaceLeader(Millis{ 300 + RandomBelow(aRandom, 1500) });
       }
       break;
     default:
@@ -90,13 +92,14 @@
 }
 ;
 
-// Guards against any series of starts, cancels, gangs, rooms that shrink,
-// lives, cuts and leaders that loads a worker beyond what it reports, also
-// with jobs that are forgotten before their runs end.
-TEST(Rooms, StartsUnderAnyTrouble_NoneBringsAWorkerOverItsRoom)
+// Guards against overloading a worker beyond its reported capacity in any
+// series of starts, cancellations, gangs, capacity changes, worker restarts,
+// network cuts and leader changes, also if a job is removed before its runs
+// end.
+TEST(WorkerCapacityLimit, RandomFaults_NoStartExceedsWorkerCapacity)
 {
-  const char* more = std::getenv("BAMBOOSTILE_SEEDS");
-  const unsigned seeds = more == nullptr ? 10 : std::stoul(more);
+  const char* seedCount = std::getenv("BAMBOOSTILE_SEEDS");
+  const unsigned seeds = seedCount == nullptr ? 10 : std::stoul(seedCount);
   for (unsigned seed = 1; seed <= seeds; ++seed) {
     std::minstd_rand random{ seed };
     PoolOptions options;
@@ -108,12 +111,12 @@
     options.m_keepEnded = Millis{ seed % 3 == 0 ? 200 : 60'000 };
     SimulatedPool pool{ options };
     for (int i = 0; i < 200; ++i) {
-      pool.Submit("job" + std::to_string(i), AnyJob(random));
+      pool.Submit("job" + std::to_string(i), RandomJob(random));
       pool.Pass(Millis{ 200 });
       if (random() % 2 == 0) {
         pool.Cancel("job" + std::to_string(random() % (i + 1)));
       }
-      Disturb(pool, options, random);
+      InjectFault(pool, options, random);
     }
     const std::string name = "seed " + std::to_string(seed);
     LONGS_EQUAL_TEXT(0, pool.CountStartsOverRoom(), name.c_str());
