--- a/include/bamboostile/admission/queue.h
+++ b/include/bamboostile/admission/queue.h
@@ -20,8 +20,8 @@
 
 constexpr std::size_t kClassCount = 3;
 
-/** One waiting request: its class, its deadline, and the id its owner knows
- * it by. */
+/** A waiting request: its class, its deadline and the id that the caller of the
+ * queue assigned to it. */
 struct Ticket
 {
   Class m_class = Class::kNormal;
@@ -31,20 +31,21 @@
   auto operator<=>(const Ticket&) const = default;
 };
 
-/** What the queue knows about how fast it is served. */
+/** Capacity, load and service times of the service behind a queue. */
 struct Service
 {
-  /** Attempts that can be under way together, and are. */
+  /** Maximum number of concurrent attempts. */
   std::uint32_t m_capacity = 0;
+  /** Attempts in flight. */
   std::uint32_t m_inFlight = 0;
   Duration m_meanTime{};
-  /** Most requests take no longer than this. */
+  /** Upper bound of the time that most requests take. */
   Duration m_usualTime{};
 };
 
 /**
- * @brief The waiting requests of one service at one entry: by class, then by
- * deadline.
+ * @brief The waiting requests of one service at one entry, ordered by class,
+ * then by deadline.
  */
 class Queue
 {
@@ -56,11 +57,11 @@
   std::size_t Size() const;
   bool IsEmpty() const { return Size() == 0; }
 
-  /** How long a newcomer of this class and deadline would wait. */
+  /** Estimates how long a new request would wait. */
   Duration EstimateWait(const Ticket& aTicket, const Service& aService) const;
 
-  /** Takes out those that cannot make their deadline any more, were they
-   * started now. */
+  /** Removes and returns the requests that would miss their deadline even if
+   * they were started now. */
   std::vector<Ticket> TakeLate(Duration aMinimalTime, TimePoint aNow);
 
 private:
--- a/include/bamboostile/admission/retry_budget.h
+++ b/include/bamboostile/admission/retry_budget.h
@@ -6,11 +6,11 @@
 namespace bamboostile::admission {
 
 /**
- * @brief Retries allowed as a share of first attempts.
+ * @brief Limits retries to a share of first attempts.
  *
- * When a service is down, every attempt fails; unlimited retries would then
- * multiply the load on what is left of it. A small reserve lets a quiet
- * service retry at all.
+ * When a service is down, every attempt fails, and unlimited retries would
+ * multiply the load on its remaining upstreams. The initial tokens let a
+ * service with little traffic retry at all.
  */
 class RetryBudget
 {
@@ -24,7 +24,7 @@
 
   void OnFirstAttempt()
   {
-    m_tokens = std::min(m_tokens + m_percent / kHundred, kCeiling);
+    m_tokens = std::min(m_tokens + m_percent / kPercentDivisor, kMaxTokens);
   }
 
   bool TakeRetry()
@@ -37,12 +37,12 @@
   }
 
 private:
-  static constexpr double kHundred = 100.0;
-  static constexpr double kReserve = 10.0;
-  static constexpr double kCeiling = 50.0;
+  static constexpr double kPercentDivisor = 100.0;
+  static constexpr double kInitialTokens = 10.0;
+  static constexpr double kMaxTokens = 50.0;
 
   std::uint32_t m_percent;
-  double m_tokens = kReserve;
+  double m_tokens = kInitialTokens;
 };
 
 } // namespace bamboostile::admission
--- a/src/admission/queue.cpp
+++ b/src/admission/queue.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 std::size_t
-Position(Class aClass)
+ClassIndex(Class aClass)
 {
   return static_cast<std::size_t>(aClass);
 }
@@ -15,7 +15,7 @@
 void
 Queue::Push(const Ticket& aTicket)
 {
-  m_classes[Position(aTicket.m_class)].insert(aTicket);
+  m_classes[ClassIndex(aTicket.m_class)].insert(aTicket);
 }
 
 std::optional<Ticket>
@@ -34,7 +34,7 @@
 void
 Queue::Remove(const Ticket& aTicket)
 {
-  m_classes[Position(aTicket.m_class)].erase(aTicket);
+  m_classes[ClassIndex(aTicket.m_class)].erase(aTicket);
 }
 
 std::size_t
@@ -50,11 +50,12 @@
 Duration
 Queue::EstimateWait(const Ticket& aTicket, const Service& aService) const
 {
-  // All of the newcomer's class counts as ahead of it, also what has a later
-  // deadline: newcomers with earlier ones will come, and an estimate that is
-  // too short breaks a promise, while one too long only refuses sooner.
+  // All requests of the same class count as ahead, even those with a later
+  // deadline, because requests with earlier deadlines will still arrive. An
+  // estimate that is too short makes an admitted request miss its deadline,
+  // while one that is too long only refuses requests sooner.
   std::size_t ahead = 0;
-  for (std::size_t i = 0; i <= Position(aTicket.m_class); ++i) {
+  for (std::size_t i = 0; i <= ClassIndex(aTicket.m_class); ++i) {
     ahead += m_classes[i].size();
   }
   if (aService.m_capacity == 0 ||
--- a/tests/unit/admission/queue_test.cpp
+++ b/tests/unit/admission/queue_test.cpp
@@ -11,7 +11,7 @@
 constexpr TimePoint kStart{ std::chrono::hours{ 1 } };
 
 Ticket
-At(std::uint64_t aId, int aDeadlineMs, Class aClass = Class::kNormal)
+MakeTicket(std::uint64_t aId, int aDeadlineMs, Class aClass = Class::kNormal)
 {
   return { aClass, kStart + Millis{ aDeadlineMs }, aId };
 }
@@ -25,10 +25,10 @@
 
 TEST(Queue, Mixed_Popped_UrgentFirstThenEarliestDeadline)
 {
-  m_queue.Push(At(1, 100, Class::kBatch));
-  m_queue.Push(At(2, 900));
-  m_queue.Push(At(3, 300));
-  m_queue.Push(At(4, 950, Class::kUrgent));
+  m_queue.Push(MakeTicket(1, 100, Class::kBatch));
+  m_queue.Push(MakeTicket(2, 900));
+  m_queue.Push(MakeTicket(3, 300));
+  m_queue.Push(MakeTicket(4, 950, Class::kUrgent));
   for (const std::uint64_t expected : { 4, 3, 2, 1 }) {
     LONGS_EQUAL(expected, m_queue.Pop()->m_id);
   }
@@ -38,30 +38,30 @@
 TEST(Queue, Estimate_GrowsWithThoseAheadAndShrinksWithCapacity)
 {
   const Service busy{ 4, 4, Millis{ 100 }, Millis{ 200 } };
-  const Duration empty = m_queue.EstimateWait(At(9, 900), busy);
+  const Duration empty = m_queue.EstimateWait(MakeTicket(9, 900), busy);
   for (std::uint64_t i = 1; i <= 8; ++i) {
-    m_queue.Push(At(i, 500));
+    m_queue.Push(MakeTicket(i, 500));
   }
-  const Duration full = m_queue.EstimateWait(At(9, 900), busy);
+  const Duration full = m_queue.EstimateWait(MakeTicket(9, 900), busy);
   CHECK(full > empty);
   const Service wide{ 8, 8, Millis{ 100 }, Millis{ 200 } };
-  CHECK(m_queue.EstimateWait(At(9, 900), wide) < full);
+  CHECK(m_queue.EstimateWait(MakeTicket(9, 900), wide) < full);
   const Duration urgent =
-    m_queue.EstimateWait(At(9, 900, Class::kUrgent), busy);
+    m_queue.EstimateWait(MakeTicket(9, 900, Class::kUrgent), busy);
   CHECK(urgent < full);
 }
 
 TEST(Queue, FreeCapacity_NothingWaiting_EstimateIsZero)
 {
   const Service idle{ 4, 1, Millis{ 100 }, Millis{ 200 } };
-  CHECK(m_queue.EstimateWait(At(1, 900), idle) == Duration::zero());
+  CHECK(m_queue.EstimateWait(MakeTicket(1, 900), idle) == Duration::zero());
 }
 
 TEST(Queue, Late_TakenOut_OthersStay)
 {
-  m_queue.Push(At(1, 10));
-  m_queue.Push(At(2, 500));
-  m_queue.Push(At(3, 10, Class::kBatch));
+  m_queue.Push(MakeTicket(1, 10));
+  m_queue.Push(MakeTicket(2, 500));
+  m_queue.Push(MakeTicket(3, 10, Class::kBatch));
   const auto late = m_queue.TakeLate(Millis{ 20 }, kStart);
   LONGS_EQUAL(2, late.size());
   LONGS_EQUAL(1, m_queue.Size());
@@ -69,9 +69,9 @@
 
 TEST_GROUP(RetryBudget){};
 
-// Every attempt fails. Retries must stay a small share of the first attempts,
-// or they multiply the load on what is left.
-TEST(RetryBudget, EverythingFails_RetriesStayInsideShare)
+// Guards against retries that multiply the load on the remaining upstreams when
+// every attempt fails.
+TEST(RetryBudget, AllAttemptsFail_RetriesStayWithinShare)
 {
   RetryBudget budget(10);
   int retries = 0;
