--- a/include/bamboostile/units/hash.h
+++ b/include/bamboostile/units/hash.h
@@ -5,8 +5,9 @@
 
 namespace bamboostile {
 
-/** FNV-1a: the same on every machine and in every build, as all processes
- * must compute the same owner from the same id. Not for hostile input. */
+/** FNV-1a hash, the same on every machine and in every build: all processes
+ * must compute the same owner from the same id. Not collision-resistant against
+ * hostile input. */
 class StableHash
 {
 public:
--- a/include/bamboostile/units/ids.h
+++ b/include/bamboostile/units/ids.h
@@ -16,11 +16,13 @@
 using RequestId = Strong<struct RequestIdTag, std::string>;
 using OperationId = Strong<struct OperationIdTag, std::string>;
 
-/** One life of an instance: a new process or an empty data folder gets a new
- * one. Larger is later for upstreams; for replicas only equality counts. */
+/** Identifies one incarnation of an instance; a new process or an empty data
+ * directory gets a new one. For upstreams, a larger value is a later
+ * incarnation; replicas only compare for equality. */
 using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
 
-/** Position in the replicated log; also the revision of what it changed. */
+/** Position in the replicated log; also the revision of the objects that the
+ * entry there changed. */
 using Index = Strong<struct IndexTag, std::uint64_t>;
 using Term = Strong<struct TermTag, std::uint64_t>;
 
--- a/include/bamboostile/units/json.h
+++ b/include/bamboostile/units/json.h
@@ -26,8 +26,8 @@
 
 } // namespace bamboostile
 
-/** A variant is kept as [position, value]: alternatives are only appended, so
- * that data written by an older build stays readable. */
+/** A variant is stored as [position, value]. New alternatives must be appended,
+ * so that data written by an older build stays readable. */
 template<typename... Ts>
 struct nlohmann::adl_serializer<std::variant<Ts...>>
 {
@@ -57,13 +57,13 @@
                    Variant& aValue,
                    std::index_sequence<Is...> /*unused*/)
   {
-    const bool known =
+    const bool isKnown =
       ((aPosition == Is
           ? (aValue = aJson.get<std::variant_alternative_t<Is, Variant>>(),
              true)
           : false) ||
        ...);
-    if (!known) {
+    if (!isKnown) {
       throw nlohmann::json::other_error::create(
         501, "unknown alternative " + std::to_string(aPosition), &aJson);
     }
--- a/include/bamboostile/units/strong.h
+++ b/include/bamboostile/units/strong.h
@@ -8,10 +8,10 @@
 namespace bamboostile {
 
 /**
- * @brief A value that only mixes with values of the same tag.
+ * @brief A value that is compatible only with values of the same tag.
  *
  * Ids and counts of different kinds share a representation (a string, a
- * 64-bit number); the tag keeps them apart at compile time.
+ * 64-bit number); the tag makes them distinct types at compile time.
  */
 template<typename Tag, typename T>
 class Strong
--- a/include/bamboostile/units/time.h
+++ b/include/bamboostile/units/time.h
@@ -6,10 +6,10 @@
 namespace bamboostile {
 
 /**
- * @brief Monotonic time of one process, handed to the decision libraries.
+ * @brief Monotonic clock of one process for the decision libraries.
  *
- * It has no Now(): decision libraries are told the time with each event, so
- * that tests, benchmarks and daemons run the same code.
+ * It has no Now(): decision libraries receive the time with each event, so that
+ * tests, benchmarks and daemons run the same code.
  */
 struct MonotonicClock
 {
@@ -26,9 +26,9 @@
 
 /** Reads the machine's monotonic clock. Only adapters and programs call it.
  *
- * It counts the time in which the machine is suspended: a leader that wakes up
- * would otherwise believe in a lease that ended while it was away, and answer
- * beside its successor. The steady clock stands still meanwhile. */
+ * Unlike the steady clock, it includes the time in which the machine is
+ * suspended. Otherwise a leader that resumes would trust a lease that ended
+ * meanwhile and answer concurrently with its successor. */
 inline TimePoint
 MonotonicNow()
 {
--- a/include/bamboostile/units/visit.h
+++ b/include/bamboostile/units/visit.h
@@ -2,7 +2,7 @@
 
 namespace bamboostile {
 
-/** Builds one visitor for std::visit out of several lambdas. */
+/** Combines several lambdas into one visitor for std::visit. */
 template<typename... Fs>
 struct Overloaded : Fs...
 {
--- a/tests/unit/units/time_test.cpp
+++ b/tests/unit/units/time_test.cpp
@@ -6,32 +6,34 @@
 
 namespace {
 
-/** What the clocks of this program show, in seconds. */
-std::time_t g_steady = 0;
-std::time_t g_withSuspension = 0;
+/** Readings of the simulated clocks, in seconds; only CLOCK_BOOTTIME counts
+ * time in suspension. */
+std::time_t g_steadySeconds = 0;
+std::time_t g_bootTimeSeconds = 0;
 
 } // namespace
 
-/** Takes the place of the C library's for the whole program. */
+/** Replaces the function of the C library in the whole program. */
 extern "C" int
 clock_gettime(clockid_t aClock, std::timespec* aTime) noexcept
 {
   *aTime = {};
-  aTime->tv_sec = aClock == CLOCK_BOOTTIME ? g_withSuspension : g_steady;
+  aTime->tv_sec =
+    aClock == CLOCK_BOOTTIME ? g_bootTimeSeconds : g_steadySeconds;
   return 0;
 }
 
 TEST_GROUP(MonotonicNow){};
 
-// A leader's machine is suspended for five seconds; meanwhile another replica
-// is elected. The clock by which the first one judges its lease must have
-// moved, or it would go on answering as the leader.
+// Guards against a leader that still trusts its lease after its machine was
+// suspended for five seconds, in which another replica was elected: it would go
+// on answering as the leader.
 TEST(MonotonicNow, MachineSuspended_TimeHasPassed)
 {
   using namespace bamboostile;
-  g_steady = 100;
-  g_withSuspension = 100;
+  g_steadySeconds = 100;
+  g_bootTimeSeconds = 100;
   const TimePoint before = MonotonicNow();
-  g_withSuspension += 5;
+  g_bootTimeSeconds += 5;
   CHECK(MonotonicNow() - before == Millis{ 5000 });
 }
