--- a/include/bamboostile/placement/mechanisms.h
+++ b/include/bamboostile/placement/mechanisms.h
@@ -33,7 +33,7 @@
   kSettingAside,
   /** Stops runs that make no progress. */
   kStuckRuns,
-  /** Delays the answer to a report without news until there is an order. */
+  /** Delays the answer to a steady worker's report until there is an order. */
   kHeldReports,
 };
 
--- a/src/placement/plan_pacer.cpp
+++ b/src/placement/plan_pacer.cpp
@@ -7,7 +7,7 @@
 /** Passes take at most one part of this many of the leader's time while ends
  * arrive; the rest is for reports and their answers. */
 constexpr int kPassTimeDivisor = 4;
-/** The same for a leader that sheds load. */
+/** The same for a leader so loaded that it sheds placement work. */
 constexpr int kPassTimeDivisorWhenShedding = 8;
 
 } // namespace
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -435,8 +435,9 @@
   if (!isMovable || !isFirstOfStep) {
     return false;
   }
-  // A draining worker leaves anyway, so its tasks may always be moved, unless
-  // another task of the step is being stopped: both would be down at once.
+  // A draining worker leaves anyway, so the disruption budget does not apply.
+  // But if another task of the step is being stopped, both would be down at
+  // once.
   return aFrom.m_last.m_draining ? !aWorkers.IsAnyStopping(job, aTask)
                                  : aWorkers.MayDisrupt(job, aTask, aNow);
 }
