--- a/include/bamboostile/consensus/membership_policy.h
+++ b/include/bamboostile/consensus/membership_policy.h
@@ -8,22 +8,23 @@
 
 struct MembershipPolicyOptions
 {
-  /** Two for each replica whose loss must be survived, and one. */
+  /** Target number of voters: two for each replica loss that the group must
+   * survive, plus one. */
   std::size_t m_voters = 3;
-  /** Never formed with fewer: as many as there are seeds. */
+  /** Minimum number of voters of a formed group: the number of seeds. */
   std::size_t m_leastVoters = 3;
-  /** A voter that is silent for so long gives its place to a learner. Longer
-   * than a restart takes. */
-  Duration m_dropSilentAfter = Millis{ 6000 };
-  /** A group that stays smaller than m_voters for so long, with no replica
-   * joining, is as large as it gets: there are no more disks. Replicas that
-   * start together join well before. */
-  Duration m_settlesAfter = Millis{ 5000 };
+  /** A voter that sends no message for this long is replaced by a learner. Must
+   * be longer than a restart takes. */
+  Duration m_replaceUnresponsiveAfter = Millis{ 6000 };
+  /** A group that stays smaller than m_targetVoters, with no replica joining
+   * for this long, counts as formed: no more disks are expected. Replicas that
+   * start together join well within this time. */
+  Duration m_sizeStableAfter = Millis{ 5000 };
 };
 
 /**
- * @brief Decides when a group is large enough to acknowledge anything, and
- * which silent voter loses its place.
+ * @brief Decides when a group is large enough to acknowledge writes, and which
+ * unresponsive voter to replace.
  */
 class MembershipPolicy
 {
@@ -33,14 +34,16 @@
   {
   }
 
-  /** This replica has become leader; what an earlier term heard is void. */
-  void Reset() { m_heardFrom.clear(); }
+  /** Called when this replica becomes leader: message times of earlier terms no
+   * longer apply. */
+  void Reset() { m_lastMessageAt.clear(); }
   void OnHeard(const ReplicaId& aFrom, TimePoint aNow)
   {
-    m_heardFrom[aFrom] = aNow;
+    m_lastMessageAt[aFrom] = aNow;
   }
 
-  /** Found out while the group forms: some seeds keep no log. */
+  /** Called while the group forms, once it is known that some seeds keep no
+   * log. */
   void SetLeastVoters(std::size_t aVoters)
   {
     m_options.m_leastVoters = aVoters;
@@ -48,19 +51,20 @@
 
   bool IsFormed(const Membership& aMembership, TimePoint aNow);
 
-  /** aSynced: learners that hold all that is committed. */
+  /** Returns the voter to remove, if any. aSynced lists the learners that hold
+   * all committed entries. */
   std::optional<Member> FindReplaceable(const Membership& aMembership,
                                         const ReplicaId& aSelf,
                                         const std::vector<ReplicaId>& aSynced,
                                         TimePoint aNow);
 
 private:
-  bool IsSilent(const ReplicaId& aId, TimePoint aNow);
+  bool IsUnresponsive(const ReplicaId& aId, TimePoint aNow);
 
   MembershipPolicyOptions m_options;
-  std::map<ReplicaId, TimePoint> m_heardFrom;
+  std::map<ReplicaId, TimePoint> m_lastMessageAt;
   std::size_t m_lastSize = 0;
-  TimePoint m_sizeSince;
+  TimePoint m_sizeChangedAt;
 };
 
 } // namespace bamboostile::consensus
--- a/include/bamboostile/consensus/replica.h
+++ b/include/bamboostile/consensus/replica.h
@@ -10,28 +10,30 @@
 
 struct ReplicaOptions
 {
-  /** Three fit into m_electionMin, so that one late one ends no term. */
+  /** Three heartbeats fit into m_minElectionTimeout, so that one late heartbeat
+   * does not end a term. */
   Duration m_heartbeat = Millis{ 150 };
-  /** No vote is given, and no election started, within this time of hearing
-   * from a leader (or of starting up). Callers wait for so long at least when a
-   * leader is lost; much less, and a leader that is busy for a moment loses its
-   * term. */
+  /** No vote is granted and no election is started within this time after the
+   * last contact with a leader (or after startup). Callers wait at least this
+   * long when a leader is lost; with a much lower value, a leader that is busy
+   * for a moment loses its term. */
   Duration m_electionMin = Millis{ 500 };
-  /** Spread of the randomised part of the election timeout. Wide beside a
-   * message's way, so that two voters seldom stand at once. */
+  /** Range of the random part of the election timeout. It is large compared
+   * with the network delay, so that two voters rarely start an election at the
+   * same time. */
   Duration m_electionSpread = Millis{ 400 };
-  /** A leader's lease is shorter than m_electionMin by this share, in
-   * percent, for clocks that run at different speeds. */
+  /** Percentage by which a leader's lease is shorter than m_minElectionTimeout,
+   * to allow for clocks that run at different rates. */
   int m_driftPercent = 10;
   std::size_t m_maxBatchBytes = 256 * 1024;
-  /** Replicas beyond these stay learners, ready to take a voter's place; 0 for
-   * no limit. An odd number: of four voters that are split in halves neither
-   * half is a majority, of three one always is. */
+  /** Maximum number of voters; further replicas stay learners, ready to replace
+   * a voter. 0 means no limit. Should be odd: if four voters are split into
+   * halves, neither half is a majority; of three voters, one side always is. */
   std::size_t m_maxVoters = 0;
   std::uint64_t m_seed = 1;
 };
 
-/** What was found in the data folder at start. */
+/** State recovered from the data folder at startup. */
 struct RecoveredState
 {
   HardState m_hardState;
@@ -41,12 +43,12 @@
 
 /**
  * @brief One replica of the replicated log: elections, replication, commit,
- * membership changes and snapshots, without any input or output.
+ * membership changes and snapshots, without any I/O.
  *
- * Every call takes the time and leaves typed actions to be fetched with
- * TakeActions(). Messages that depend on a disk write are kept back until
- * OnPersisted() reports that write, so a shell cannot send them too early.
- * The object is not thread-safe; one control thread owns it.
+ * Every call takes the current time and queues typed actions, which the owner
+ * fetches with TakeActions(). Messages that depend on a disk write are deferred
+ * until OnPersisted() reports that write, so the owner cannot send them too
+ * early. Not thread-safe; owned by one control thread.
  */
 class Replica
 {
@@ -63,13 +65,14 @@
   void Receive(const Message& aMessage, TimePoint aNow);
   void OnPersisted(std::uint64_t aTicket, TimePoint aNow);
 
-  /** Appends a command; on success aIndex is its position, which is decided
-   * once an Apply with that index and m_term == Term() comes out. */
+  /** Appends a command; on success aIndex is its position. The command is
+   * committed once an Apply action contains an entry with that index and with
+   * the term that CurrentTerm() returned at this call. */
   Error Propose(std::string aCommand, TimePoint aNow, Index& aIndex);
 
-  /** Admits a replica as a learner. It is made a voter by itself once it
-   * holds all that is committed; an older incarnation of the same instance
-   * is removed just before. */
+  /** Adds a replica as a learner. It becomes a voter automatically once it
+   * holds all committed entries; an older incarnation of the same instance is
+   * removed first. */
   Error AddMember(Member aMember, TimePoint aNow);
   Error RemoveMember(const InstanceId& aInstance, TimePoint aNow);
 
@@ -78,12 +81,12 @@
 
   std::vector<Action> TakeActions();
 
-  /** True while no other leader can have been elected; reads and leases are
-   * given only then. */
+  /** True while no other leader can have been elected; reads are answered and
+   * leases are granted only then. */
   bool HoldsLease(TimePoint aNow) const;
 
-  /** True once an entry of this leader's own term is applied: its state then
-   * holds everything any earlier leader acknowledged. */
+  /** True once an entry of this leader's own term is committed: its state then
+   * contains everything that any earlier leader acknowledged. */
   bool IsReady() const;
 
   const ReplicaId& Self() const { return m_self; }
@@ -94,10 +97,10 @@
   Index LastIndex() const;
   Index SnapshotIndex() const { return m_snapshot.m_index; }
   const Membership& CurrentMembership() const;
-  /** A leader's view: the last entry each member is known to hold. */
+  /** Leader only: the last index that aId is known to hold. */
   Index MatchOf(const ReplicaId& aId) const;
-  /** Peers whose log went back behind what they had acknowledged: their
-   * folder was replaced by an old copy. They are not counted any more. */
+  /** Peers that hold less than they had acknowledged, because their folder was
+   * replaced by an old copy. They are no longer counted. */
   const std::set<ReplicaId>& Regressed() const { return m_regressed; }
 
 private:
@@ -105,35 +108,47 @@
   {
     Index m_next;
     Index m_match;
-    /** When m_match last grew. */
-    TimePoint m_matchKnownAt;
-    TimePoint m_lastAckSentAt;
+    /** When m_match last advanced. */
+    TimePoint m_matchAdvancedAt;
+    TimePoint m_lastAckedSentAt;
     TimePoint m_lastSnapshotAt;
     bool m_probing = true;
   };
 
-  struct HeldMessage
+  struct DeferredMessage
   {
     std::uint64_t m_ticket;
     Message m_message;
   };
 
-  struct MembershipAt
+  struct MembershipEntry
   {
     Index m_index;
     Membership m_membership;
   };
 
-  void On(const ReplicaId& aFrom, const VoteRequest& aVote, Term, TimePoint);
-  void On(const ReplicaId& aFrom, const VoteReply& aReply, Term, TimePoint);
-  void On(const ReplicaId& aFrom, const AppendRequest& aApp, Term, TimePoint);
-  void On(const ReplicaId& aFrom, const AppendReply& aReply, Term, TimePoint);
-  void On(const ReplicaId& aFrom, const InstallSnapshot& aSn, Term, TimePoint);
-
-  void OnPreVoteAfterRestart(const ReplicaId& aFrom,
-                             const VoteRequest& aVote,
-                             Term aTerm,
-                             TimePoint aNow);
+  void Handle(const ReplicaId& aFrom,
+              const VoteRequest& aVote,
+              Term,
+              TimePoint);
+  void Handle(const ReplicaId& aFrom, const VoteReply& aReply, Term, TimePoint);
+  void Handle(const ReplicaId& aFrom,
+              const AppendRequest& aAppend,
+              Term,
+              TimePoint);
+  void Handle(const ReplicaId& aFrom,
+              const AppendReply& aReply,
+              Term,
+              TimePoint);
+  void Handle(const ReplicaId& aFrom,
+              const InstallSnapshot& aInstall,
+              Term,
+              TimePoint);
+
+  void HandlePreVoteAfterRestart(const ReplicaId& aFrom,
+                                 const VoteRequest& aVote,
+                                 Term aTerm,
+                                 TimePoint aNow);
 
   void BecomeFollower(Term aTerm, TimePoint aNow);
   void StartPreVote(TimePoint aNow);
@@ -142,22 +157,22 @@
   void RequestVotes(bool aPreVote);
   bool HasVoteQuorum() const;
   bool KnowsNoLeader() const;
-  bool NoVoterKnowsALeader() const;
-  void LetElectionRun(TimePoint aNow);
-  Duration RandomUpTo(Duration aMost);
+  bool AllVotersKnowNoLeader() const;
+  void MarkElectionInProgress(TimePoint aNow);
+  Duration RandomUpTo(Duration aMax);
   void ResetElectionDeadline(TimePoint aNow);
   void FollowLeader(const ReplicaId& aLeader, TimePoint aNow);
 
-  void AppendOwn(Payload aPayload, TimePoint aNow);
+  void AppendToLog(Payload aPayload, TimePoint aNow);
   Error ProposeMembership(Membership aMembership, TimePoint aNow);
-  bool IsChangePending() const;
+  bool IsMembershipChangePending() const;
   void PromoteSyncedLearner(TimePoint aNow);
   void StepDownIfRemoved(TimePoint aNow);
   void SendAppends(TimePoint aNow, bool aHeartbeat);
   void SendAppendTo(const ReplicaId& aPeer, TimePoint aNow, bool aHeartbeat);
   void AdvanceCommit(TimePoint aNow);
   void CommitTo(Index aIndex);
-  TimePoint QuorumContact(TimePoint aNow) const;
+  TimePoint LastQuorumContact(TimePoint aNow) const;
 
   void TruncateFrom(Index aIndex);
   const LogEntry* EntryAt(Index aIndex) const;
@@ -169,7 +184,7 @@
   void PersistEntries(std::vector<LogEntry> aEntries);
   std::uint64_t NewTicket() { return ++m_lastTicket; }
   void SendNow(const ReplicaId& aTo, MessageBody aBody);
-  /** Sends once everything handed to the disk so far is synced. */
+  /** Sends once all writes handed to the disk so far are synced. */
   void SendWhenSynced(const ReplicaId& aTo, MessageBody aBody);
   Message Compose(const ReplicaId& aTo, MessageBody aBody) const;
   std::uint64_t NextRandom();
@@ -179,7 +194,7 @@
   HardState m_hardState;
   Snapshot m_snapshot;
   std::deque<LogEntry> m_log;
-  std::vector<MembershipAt> m_memberships;
+  std::vector<MembershipEntry> m_memberships;
   Index m_commit;
   Index m_applied;
   Index m_persistedIndex;
@@ -187,20 +202,22 @@
   Role m_role = Role::kFollower;
   bool m_inPreVote = false;
   std::optional<ReplicaId> m_leader;
-  TimePoint m_leaderHeardAt;
+  TimePoint m_lastLeaderContactAt;
   TimePoint m_electionDeadline;
   TimePoint m_nextHeartbeat;
-  TimePoint m_leaderSince;
-  Index m_termStart;
+  TimePoint m_becameLeaderAt;
+  Index m_termStartIndex;
   std::set<ReplicaId> m_votes;
-  /** Since this process started, from another or by leading. */
-  bool m_hasHeardLeader = false;
-  TimePoint m_nextProbe;
-  TimePoint m_electionRunsUntil;
-  /** Voters that have said in this term that they know of no leader. */
-  std::set<ReplicaId> m_leaderless;
-  /** Candidates that this replica has told so, and in which term. */
-  std::map<ReplicaId, Term> m_toldNoLeader;
+  /** Whether this replica has led, or has received a message from a leader,
+   * since this process started. */
+  bool m_hasKnownLeader = false;
+  TimePoint m_nextRestartPreVote;
+  TimePoint m_electionInProgressUntil;
+  /** Voters that reported in this term that they know of no leader. */
+  std::set<ReplicaId> m_votersWithoutLeader;
+  /** Candidates to which this replica reported that it knows of no leader, and
+   * the term of that report. */
+  std::map<ReplicaId, Term> m_noLeaderReplies;
   std::map<ReplicaId, Progress> m_progress;
   std::set<ReplicaId> m_regressed;
 
@@ -208,7 +225,7 @@
   std::uint64_t m_syncedTicket = 0;
   std::uint64_t m_hardStateTicket = 0;
   std::map<std::uint64_t, Index> m_ticketIndex;
-  std::deque<HeldMessage> m_held;
+  std::deque<DeferredMessage> m_deferred;
   std::vector<Action> m_actions;
   std::uint64_t m_randomState;
 };
--- a/include/bamboostile/consensus/types.h
+++ b/include/bamboostile/consensus/types.h
@@ -10,8 +10,8 @@
 
 namespace bamboostile::consensus {
 
-/** One life of a replica's data folder. A lost folder makes a new one, which
- * shares no vote with the old. */
+/** One incarnation of a replica's data folder. A replica that loses its folder
+ * gets a new incarnation, which shares no vote with the old one. */
 struct ReplicaId
 {
   InstanceId m_instance;
@@ -42,7 +42,7 @@
 struct Noop
 {};
 
-/** An encoded state machine command; the log does not look inside. */
+/** An encoded state machine command; opaque to the log. */
 struct CommandBytes
 {
   std::string m_bytes;
@@ -57,7 +57,7 @@
   Payload m_payload;
 };
 
-/** What must be on disk before a vote is given or a term is used. */
+/** State that must be on disk before a vote is granted or a term is used. */
 struct HardState
 {
   Term m_term;
@@ -84,7 +84,8 @@
 {
   bool m_preVote = false;
   bool m_granted = false;
-  /** The sender has not heard from a leader, nor led, since it started. */
+  /** The sender has neither led nor received a message from a leader since it
+   * started. */
   bool m_knowsNoLeader = false;
 };
 
@@ -94,16 +95,16 @@
   Term m_previousTerm;
   std::vector<LogEntry> m_entries;
   Index m_commit;
-  /** The leader's clock at sending, returned by the follower: the leader's
-   * lease counts from here, so delay can only shorten it. */
+  /** The leader's clock at sending, echoed by the follower. The leader's lease
+   * starts at this time, so network delay can only shorten it. */
   TimePoint m_sentAt;
 };
 
 struct AppendReply
 {
   bool m_accepted = false;
-  /** Accepted: the last entry known to match. Refused: the last entry that
-   * the follower holds. */
+  /** If accepted: the last entry known to match. If rejected: the last entry
+   * that the follower holds. */
   Index m_match;
   TimePoint m_sentAt;
 };
@@ -125,8 +126,9 @@
   MessageBody m_body;
 };
 
-/** Work for the disk. Once all of it is synced, the shell reports m_ticket
- * back; entries replace whatever the log held from their first index on. */
+/** A write request for the disk. Once all of it is synced, the owner of the
+ * replica reports m_ticket back. m_entries replace everything in the log from
+ * their first index on. */
 struct Persist
 {
   std::uint64_t m_ticket = 0;
@@ -140,13 +142,13 @@
   Message m_message;
 };
 
-/** Committed entries in order, each handed out once in a process's life. */
+/** Committed entries in order; each is handed out once per process. */
 struct Apply
 {
   std::vector<LogEntry> m_entries;
 };
 
-/** The state machine starts again from this snapshot. */
+/** The state machine restarts from this snapshot. */
 struct Restore
 {
   Snapshot m_snapshot;
@@ -173,7 +175,7 @@
   kNotEmpty,
 };
 
-/** A sentence for operators. */
+/** Returns a message for operators. */
 const char* Describe(Error aError) noexcept;
 
 } // namespace bamboostile::consensus
--- a/src/consensus/elections.cpp
+++ b/src/consensus/elections.cpp
@@ -2,17 +2,19 @@
 
 #include <algorithm>
 
-// Elections: timeouts, votes, and what changes with the role.
+// Elections: timeouts, votes and role changes.
 
 namespace bamboostile::consensus {
 
 namespace {
 
-/** Between two pre-votes after a restart; the second half of it is random. */
-constexpr Duration kProbeInterval = Millis{ 60 };
-/** An election among restarted replicas is let run for so long; one that two
- * candidates have split is tried again after it, up to as long again. */
-constexpr Duration kRestartElection = Millis{ 100 };
+/** Maximum interval between two pre-votes after a restart; the second half of
+ * it is random. */
+constexpr Duration kRestartPreVoteInterval = Millis{ 60 };
+/** Time allowed for an election among restarted replicas. If two candidates
+ * split the vote, the next attempt starts after this time plus a random delay
+ * of up to the same length. */
+constexpr Duration kRestartElectionTimeout = Millis{ 100 };
 
 } // namespace
 
@@ -33,30 +35,32 @@
 }
 
 void
-Replica::LetElectionRun(TimePoint aNow)
+Replica::MarkElectionInProgress(TimePoint aNow)
 {
-  m_electionRunsUntil = aNow + kRestartElection;
-  m_nextProbe = m_electionRunsUntil + RandomUpTo(kRestartElection);
+  m_electionInProgressUntil = aNow + kRestartElectionTimeout;
+  m_nextRestartPreVote =
+    m_electionInProgressUntil + RandomUpTo(kRestartElectionTimeout);
 }
 
 Duration
-Replica::RandomUpTo(Duration aMost)
+Replica::RandomUpTo(Duration aMax)
 {
-  const auto most =
-    static_cast<std::uint64_t>(std::max<Duration::rep>(aMost.count(), 1));
-  return Duration{ static_cast<Duration::rep>(NextRandom() % most) };
+  const auto limit =
+    static_cast<std::uint64_t>(std::max<Duration::rep>(aMax.count(), 1));
+  return Duration{ static_cast<Duration::rep>(NextRandom() % limit) };
 }
 
 void
 Replica::Tick(TimePoint aNow)
 {
   if (m_role == Role::kLeader) {
-    const Duration patience =
+    const Duration timeout =
       m_options.m_electionMin + m_options.m_electionSpread;
-    const TimePoint contact = std::max(QuorumContact(aNow), m_leaderSince);
-    // Cut off from the quorum: another leader may exist by now. Going on
-    // would keep callers waiting for commits that can never come.
-    if (contact + patience < aNow) {
+    const TimePoint lastContact =
+      std::max(LastQuorumContact(aNow), m_becameLeaderAt);
+    // Without contact to a quorum another leader may have been elected. Staying
+    // leader would keep callers waiting for commits that cannot happen.
+    if (lastContact + timeout < aNow) {
       BecomeFollower(m_hardState.m_term, aNow);
       return;
     }
@@ -72,8 +76,9 @@
   if (aNow >= m_electionDeadline) {
     ResetElectionDeadline(aNow);
     StartPreVote(aNow);
-  } else if (KnowsNoLeader() && aNow >= m_nextProbe) {
-    m_nextProbe = aNow + kProbeInterval / 2 + RandomUpTo(kProbeInterval / 2);
+  } else if (KnowsNoLeader() && aNow >= m_nextRestartPreVote) {
+    m_nextRestartPreVote = aNow + kRestartPreVoteInterval / 2 +
+                           RandomUpTo(kRestartPreVoteInterval / 2);
     StartPreVote(aNow);
   }
 }
@@ -88,15 +93,15 @@
   m_role = Role::kFollower;
   m_inPreVote = false;
   m_leader.reset();
-  m_leaderless.clear();
+  m_votersWithoutLeader.clear();
   m_progress.clear();
   m_regressed.clear();
   ResetElectionDeadline(aNow);
 }
 
-// Asking first, without a new term: a replica that comes back from a long
-// isolation would otherwise force an election on a healthy group by its high
-// term alone.
+// The pre-vote asks for votes without starting a new term. Otherwise a replica
+// that returns from a long isolation would force an election on a healthy group
+// by its high term alone.
 void
 Replica::StartPreVote(TimePoint aNow)
 {
@@ -104,9 +109,9 @@
   m_inPreVote = true;
   m_leader.reset();
   m_votes = { m_self };
-  m_leaderless.clear();
+  m_votersWithoutLeader.clear();
   if (KnowsNoLeader()) {
-    m_leaderless.insert(m_self);
+    m_votersWithoutLeader.insert(m_self);
   }
   if (HasVoteQuorum()) {
     StartElection(aNow);
@@ -118,25 +123,25 @@
 bool
 Replica::KnowsNoLeader() const
 {
-  return !m_hasHeardLeader;
+  return !m_hasKnownLeader;
 }
 
-// After a restart of all voters each would wait out the lease of a leader that
-// no longer exists, and callers with it. Whoever leads is a voter, so where
-// every voter says that it has neither led nor heard from a leader since it
-// started, nobody leads, and no lease is left to wait for. One that does not
-// answer may lead.
+// After a restart of all voters, each of them, and all callers, would wait for
+// the end of the lease of a leader that no longer exists. Only a voter can
+// lead, so if every voter reports that it has neither led nor received a
+// message from a leader since it started, there is no leader and no lease to
+// wait for. A voter that does not answer may be the leader.
 //
-// A leader elected after such an answer is not overlooked either: who answers
-// takes the candidate's term, so that leader's term is higher, and a voter that
-// has heard from it no longer gives its vote ahead of time.
+// A leader elected after such a report is not missed either: the reporting
+// voter has adopted the candidate's term, so that leader's term is higher, and
+// a voter that has received its messages no longer grants its vote early.
 bool
-Replica::NoVoterKnowsALeader() const
+Replica::AllVotersKnowNoLeader() const
 {
   const auto& members = CurrentMembership().m_members;
   return std::all_of(
     members.begin(), members.end(), [&](const Member& aMember) {
-      return !aMember.m_voter || m_leaderless.contains(aMember.m_id);
+      return !aMember.m_voter || m_votersWithoutLeader.contains(aMember.m_id);
     });
 }
 
@@ -150,7 +155,7 @@
   PersistHardState();
   m_votes = { m_self };
   ResetElectionDeadline(aNow);
-  LetElectionRun(aNow);
+  MarkElectionInProgress(aNow);
   if (HasVoteQuorum()) {
     BecomeLeader(aNow);
     return;
@@ -184,15 +189,15 @@
 {
   m_role = Role::kLeader;
   m_leader = m_self;
-  m_hasHeardLeader = true;
-  m_toldNoLeader.clear();
-  m_leaderSince = aNow;
+  m_hasKnownLeader = true;
+  m_noLeaderReplies.clear();
+  m_becameLeaderAt = aNow;
   m_progress.clear();
   m_regressed.clear();
-  // An entry of the own term: only by committing it does a new leader learn
-  // which entries of earlier terms are committed.
-  AppendOwn(Noop{}, aNow);
-  m_termStart = LastIndex();
+  // A new leader learns which entries of earlier terms are committed only by
+  // committing an entry of its own term.
+  AppendToLog(Noop{}, aNow);
+  m_termStartIndex = LastIndex();
   SendAppends(aNow, true);
 }
 
@@ -202,23 +207,23 @@
   m_role = Role::kFollower;
   m_inPreVote = false;
   m_leader = aLeader;
-  m_hasHeardLeader = true;
-  m_toldNoLeader.clear();
-  m_leaderHeardAt = aNow;
+  m_hasKnownLeader = true;
+  m_noLeaderReplies.clear();
+  m_lastLeaderContactAt = aNow;
   ResetElectionDeadline(aNow);
 }
 
 void
 Replica::Receive(const Message& aMessage, TimePoint aNow)
 {
-  // A message for an earlier life of this instance: its folder is gone, and
-  // with it the votes and entries that the sender counts on.
+  // The message is for an earlier incarnation of this instance. Its folder is
+  // lost, and with it the votes and entries that the sender relies on.
   if (aMessage.m_to != m_self) {
     return;
   }
   const auto* vote = std::get_if<VoteRequest>(&aMessage.m_body);
   if (vote != nullptr) {
-    On(aMessage.m_from, *vote, aMessage.m_term, aNow);
+    Handle(aMessage.m_from, *vote, aMessage.m_term, aNow);
     return;
   }
   if (aMessage.m_term > m_hardState.m_term) {
@@ -231,34 +236,36 @@
   }
   std::visit(
     [&](const auto& aBody) {
-      On(aMessage.m_from, aBody, aMessage.m_term, aNow);
+      Handle(aMessage.m_from, aBody, aMessage.m_term, aNow);
     },
     aMessage.m_body);
 }
 
 void
-Replica::On(const ReplicaId& aFrom,
-            const VoteRequest& aVote,
-            Term aTerm,
-            TimePoint aNow)
+Replica::Handle(const ReplicaId& aFrom,
+                const VoteRequest& aVote,
+                Term aTerm,
+                TimePoint aNow)
 {
-  // Within m_electionMin of hearing from a leader no vote is given: the lease
-  // under which that leader answers reads rests on it.
-  const bool leaderAlive = m_role == Role::kLeader
-                             ? HoldsLease(aNow)
-                             : aNow < m_leaderHeardAt + m_options.m_electionMin;
+  // No vote is granted within m_minElectionTimeout of the last contact with a
+  // leader: the lease under which that leader answers reads depends on it.
+  const bool isLeaderAlive =
+    m_role == Role::kLeader
+      ? HoldsLease(aNow)
+      : aNow < m_lastLeaderContactAt + m_options.m_electionMin;
   if (aTerm < m_hardState.m_term) {
     SendWhenSynced(aFrom, VoteReply{ aVote.m_preVote, false });
     return;
   }
   if (aVote.m_preVote && KnowsNoLeader()) {
-    OnPreVoteAfterRestart(aFrom, aVote, aTerm, aNow);
+    HandlePreVoteAfterRestart(aFrom, aVote, aTerm, aNow);
     return;
   }
-  const auto told = m_toldNoLeader.find(aFrom);
-  const bool isAwaited =
-    told != m_toldNoLeader.end() && aTerm == Term{ told->second.Get() + 1 };
-  if (leaderAlive && !isAwaited) {
+  const auto noLeaderReply = m_noLeaderReplies.find(aFrom);
+  const bool isExpectedCandidate =
+    noLeaderReply != m_noLeaderReplies.end() &&
+    aTerm == Term{ noLeaderReply->second.Get() + 1 };
+  if (isLeaderAlive && !isExpectedCandidate) {
     return;
   }
   if (aVote.m_preVote) {
@@ -270,57 +277,58 @@
   if (aTerm > m_hardState.m_term) {
     BecomeFollower(aTerm, aNow);
   }
-  const bool free = !m_hardState.m_votedFor || *m_hardState.m_votedFor == aFrom;
-  const bool granted = free &&
+  const bool canVote =
+    !m_hardState.m_votedFor || *m_hardState.m_votedFor == aFrom;
+  const bool granted = canVote &&
                        IsUpToDate(aVote.m_lastIndex, aVote.m_lastTerm) &&
                        m_role != Role::kLeader;
   if (granted) {
     m_hardState.m_votedFor = aFrom;
     PersistHardState();
     ResetElectionDeadline(aNow);
-    LetElectionRun(aNow);
+    MarkElectionInProgress(aNow);
   }
   SendWhenSynced(aFrom, VoteReply{ false, granted });
 }
 
 void
-Replica::OnPreVoteAfterRestart(const ReplicaId& aFrom,
-                               const VoteRequest& aVote,
-                               Term aTerm,
-                               TimePoint aNow)
+Replica::HandlePreVoteAfterRestart(const ReplicaId& aFrom,
+                                   const VoteRequest& aVote,
+                                   Term aTerm,
+                                   TimePoint aNow)
 {
   // A pre-vote carries the term that the election would have.
-  const Term candidates{ aTerm.Get() - 1 };
-  if (candidates < m_hardState.m_term) {
+  const Term candidateTerm{ aTerm.Get() - 1 };
+  if (candidateTerm < m_hardState.m_term) {
     SendWhenSynced(aFrom, VoteReply{ true, false });
     return;
   }
-  if (candidates > m_hardState.m_term) {
-    BecomeFollower(candidates, aNow);
+  if (candidateTerm > m_hardState.m_term) {
+    BecomeFollower(candidateTerm, aNow);
   }
-  // Another election, begun now, would take the votes of the one under way.
-  const bool isElecting = aNow < m_electionRunsUntil;
+  // Another election started now would split the votes of the one in progress.
+  const bool isElecting = aNow < m_electionInProgressUntil;
   if (isElecting || !IsUpToDate(aVote.m_lastIndex, aVote.m_lastTerm)) {
     return;
   }
-  m_toldNoLeader[aFrom] = m_hardState.m_term;
-  const bool granted = aNow >= m_leaderHeardAt + m_options.m_electionMin;
+  m_noLeaderReplies[aFrom] = m_hardState.m_term;
+  const bool granted = aNow >= m_lastLeaderContactAt + m_options.m_electionMin;
   SendWhenSynced(aFrom, VoteReply{ true, granted, true });
 }
 
 void
-Replica::On(const ReplicaId& aFrom,
-            const VoteReply& aReply,
-            Term aTerm,
-            TimePoint aNow)
+Replica::Handle(const ReplicaId& aFrom,
+                const VoteReply& aReply,
+                Term aTerm,
+                TimePoint aNow)
 {
   if (m_role != Role::kCandidate || aReply.m_preVote != m_inPreVote ||
       aTerm > m_hardState.m_term) {
     return;
   }
   if (aReply.m_knowsNoLeader && aTerm == m_hardState.m_term) {
-    m_leaderless.insert(aFrom);
-    if (NoVoterKnowsALeader()) {
+    m_votersWithoutLeader.insert(aFrom);
+    if (AllVotersKnowNoLeader()) {
       StartElection(aNow);
       return;
     }
--- a/src/consensus/membership_policy.cpp
+++ b/src/consensus/membership_policy.cpp
@@ -4,35 +4,37 @@
 
 namespace bamboostile::consensus {
 
-// A group that forms consists of one voter at first, then of two. What it
-// acknowledged then would be lost with one disk; and with three of five voters
-// in place, two lost disks would lose it. So nothing is acknowledged before the
-// group is as large as the losses that it must survive ask for.
+// A group starts with one voter, then has two. Anything acknowledged at that
+// point would be lost with one disk; with three of five voters in place, two
+// lost disks would lose it. Nothing is acknowledged until the group is large
+// enough for the losses that it must survive.
 bool
 MembershipPolicy::IsFormed(const Membership& aMembership, TimePoint aNow)
 {
   const std::size_t size = aMembership.m_members.size();
   if (size != m_lastSize) {
     m_lastSize = size;
-    m_sizeSince = aNow;
+    m_sizeChangedAt = aNow;
   }
-  const bool hasSettled = aNow >= m_sizeSince + m_options.m_settlesAfter &&
-                          aMembership.VoterCount() == size &&
-                          size >= m_options.m_leastVoters;
-  return aMembership.VoterCount() >= m_options.m_voters || hasSettled;
+  const bool isSizeStable =
+    aNow >= m_sizeChangedAt + m_options.m_sizeStableAfter &&
+    aMembership.VoterCount() == size && size >= m_options.m_leastVoters;
+  return aMembership.VoterCount() >= m_options.m_voters || isSizeStable;
 }
 
 bool
-MembershipPolicy::IsSilent(const ReplicaId& aId, TimePoint aNow)
+MembershipPolicy::IsUnresponsive(const ReplicaId& aId, TimePoint aNow)
 {
-  const TimePoint heard = m_heardFrom.try_emplace(aId, aNow).first->second;
-  return aNow > heard + m_options.m_dropSilentAfter;
+  const TimePoint lastMessageAt =
+    m_lastMessageAt.try_emplace(aId, aNow).first->second;
+  return aNow > lastMessageAt + m_options.m_replaceUnresponsiveAfter;
 }
 
-// A voter that stays away weighs on the quorum. It gives its place to a learner
-// that holds all that is committed. Without such a learner it stays, unless
-// there are more voters than needed: a group of five that shrinks to the three
-// that answer is lost with the next two disks, and it was to survive those.
+// An unresponsive voter still counts towards the quorum, so it is replaced by a
+// learner that holds all committed entries. Without such a learner it stays,
+// unless there are more voters than needed: a group of five reduced to its
+// three responsive voters would be lost with the next two disks, although it
+// must survive the loss of two.
 std::optional<Member>
 MembershipPolicy::FindReplaceable(const Membership& aMembership,
                                   const ReplicaId& aSelf,
@@ -41,17 +43,18 @@
 {
   const bool hasSpare =
     std::any_of(aSynced.begin(), aSynced.end(), [&](const ReplicaId& aId) {
-      return !aMembership.IsVoter(aId) && !IsSilent(aId, aNow);
+      return !aMembership.IsVoter(aId) && !IsUnresponsive(aId, aNow);
     });
-  std::optional<Member> silent;
+  std::optional<Member> unresponsive;
   for (const Member& member : aMembership.m_members) {
-    const bool isAway = member.m_id != aSelf && IsSilent(member.m_id, aNow);
-    if (!silent && member.m_voter && isAway) {
-      silent = member;
+    const bool isUnresponsive =
+      member.m_id != aSelf && IsUnresponsive(member.m_id, aNow);
+    if (!unresponsive && member.m_voter && isUnresponsive) {
+      unresponsive = member;
     }
   }
-  const bool hasTooMany = aMembership.VoterCount() > m_options.m_voters;
-  return hasSpare || hasTooMany ? silent : std::nullopt;
+  const bool hasSurplus = aMembership.VoterCount() > m_options.m_voters;
+  return hasSpare || hasSurplus ? unresponsive : std::nullopt;
 }
 
 } // namespace bamboostile::consensus
--- a/src/consensus/replica.cpp
+++ b/src/consensus/replica.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/** Entries sent ahead of what a peer acknowledged; past this we wait. */
+/** Maximum number of entries sent beyond what a peer has acknowledged; at this
+ * limit sending pauses. */
 constexpr std::uint64_t kMaxEntriesInFlight = 4096;
 constexpr Duration kSnapshotRetry = Millis{ 2000 };
 
@@ -43,10 +44,11 @@
   m_commit = m_snapshot.m_index;
   m_applied = m_snapshot.m_index;
   m_persistedIndex = LastIndex();
-  // A restarted replica has forgotten that it heard from a leader a moment
-  // ago. Voting at once would break the lease of that leader, which counts on
-  // m_electionMin of silence; so it starts as if it had just heard from one.
-  m_leaderHeardAt = aNow;
+  // A restarted replica no longer knows when it last heard from a leader.
+  // Voting at once could violate that leader's lease, which relies on no vote
+  // being granted for m_minElectionTimeout; so the replica starts as if it had
+  // just heard from one.
+  m_lastLeaderContactAt = aNow;
   ResetElectionDeadline(aNow);
 }
 
@@ -56,13 +58,13 @@
   if (LastIndex() != Index{} || m_hardState.m_term != Term{}) {
     return Error::kNotEmpty;
   }
-  Membership founding;
-  founding.m_members.push_back({ m_self, std::move(aAddress), true });
+  Membership initial;
+  initial.m_members.push_back({ m_self, std::move(aAddress), true });
   m_hardState.m_term = Term{ 1 };
   PersistHardState();
-  LogEntry entry{ Index{ 1 }, Term{ 1 }, founding };
+  LogEntry entry{ Index{ 1 }, Term{ 1 }, initial };
   m_log.push_back(entry);
-  m_memberships.push_back({ entry.m_index, founding });
+  m_memberships.push_back({ entry.m_index, initial });
   PersistEntries({ entry });
   StartElection(aNow);
   return Error::kNone;
@@ -133,11 +135,11 @@
 bool
 Replica::IsReady() const
 {
-  return m_role == Role::kLeader && m_commit >= m_termStart;
+  return m_role == Role::kLeader && m_commit >= m_termStartIndex;
 }
 
 TimePoint
-Replica::QuorumContact(TimePoint aNow) const
+Replica::LastQuorumContact(TimePoint aNow) const
 {
   std::vector<TimePoint> contacts;
   for (const Member& member : CurrentMembership().m_members) {
@@ -150,7 +152,7 @@
     } else if (found == m_progress.end() || m_regressed.contains(member.m_id)) {
       contacts.push_back(TimePoint{});
     } else {
-      contacts.push_back(found->second.m_lastAckSentAt);
+      contacts.push_back(found->second.m_lastAckedSentAt);
     }
   }
   if (contacts.empty()) {
@@ -168,10 +170,10 @@
   }
   const Duration lease =
     m_options.m_electionMin * (100 - m_options.m_driftPercent) / 100;
-  return aNow < QuorumContact(aNow) + lease;
+  return aNow < LastQuorumContact(aNow) + lease;
 }
 
-// -------------------------------------------------------------- replication
+// Log replication: appending, sending and committing entries.
 
 Error
 Replica::Propose(std::string aCommand, TimePoint aNow, Index& aIndex)
@@ -179,14 +181,14 @@
   if (m_role != Role::kLeader) {
     return Error::kNotLeader;
   }
-  AppendOwn(CommandBytes{ std::move(aCommand) }, aNow);
+  AppendToLog(CommandBytes{ std::move(aCommand) }, aNow);
   aIndex = LastIndex();
   SendAppends(aNow, false);
   return Error::kNone;
 }
 
 void
-Replica::AppendOwn(Payload aPayload, TimePoint /*aNow*/)
+Replica::AppendToLog(Payload aPayload, TimePoint /*aNow*/)
 {
   LogEntry entry{ Next(LastIndex()), m_hardState.m_term, std::move(aPayload) };
   if (const auto* change = std::get_if<Membership>(&entry.m_payload)) {
@@ -249,19 +251,20 @@
 }
 
 void
-Replica::On(const ReplicaId& aFrom,
-            const AppendRequest& aAppend,
-            Term aTerm,
-            TimePoint aNow)
+Replica::Handle(const ReplicaId& aFrom,
+                const AppendRequest& aAppend,
+                Term aTerm,
+                TimePoint aNow)
 {
   if (aTerm < m_hardState.m_term) {
     SendWhenSynced(aFrom, AppendReply{ false, LastIndex(), aAppend.m_sentAt });
     return;
   }
   FollowLeader(aFrom, aNow);
-  const bool known = aAppend.m_previousIndex < m_snapshot.m_index ||
-                     TermAt(aAppend.m_previousIndex) == aAppend.m_previousTerm;
-  if (!known) {
+  const bool matchesPrevious =
+    aAppend.m_previousIndex < m_snapshot.m_index ||
+    TermAt(aAppend.m_previousIndex) == aAppend.m_previousTerm;
+  if (!matchesPrevious) {
     const Index last = std::min(LastIndex(), Previous(aAppend.m_previousIndex));
     SendWhenSynced(aFrom, AppendReply{ false, last, aAppend.m_sentAt });
     return;
@@ -273,11 +276,11 @@
     if (entry.m_index <= m_snapshot.m_index) {
       continue;
     }
-    const std::optional<Term> held = TermAt(entry.m_index);
-    if (held == entry.m_term) {
+    const std::optional<Term> existingTerm = TermAt(entry.m_index);
+    if (existingTerm == entry.m_term) {
       continue;
     }
-    if (held) {
+    if (existingTerm) {
       TruncateFrom(entry.m_index);
     }
     if (const auto* change = std::get_if<Membership>(&entry.m_payload)) {
@@ -291,8 +294,8 @@
   }
   CommitTo(std::min(aAppend.m_commit, match));
   if (aAppend.m_entries.empty() && m_syncedTicket >= m_hardStateTicket) {
-    // A bare heartbeat claims only what is on disk already, so that a slow
-    // disk does not silence a healthy follower.
+    // A heartbeat without entries acknowledges only what is already on disk, so
+    // that a slow disk does not make a healthy follower look unresponsive.
     SendNow(
       aFrom,
       AppendReply{ true, std::min(match, m_persistedIndex), aAppend.m_sentAt });
@@ -302,10 +305,10 @@
 }
 
 void
-Replica::On(const ReplicaId& aFrom,
-            const AppendReply& aReply,
-            Term aTerm,
-            TimePoint aNow)
+Replica::Handle(const ReplicaId& aFrom,
+                const AppendReply& aReply,
+                Term aTerm,
+                TimePoint aNow)
 {
   const auto found = m_progress.find(aFrom);
   if (m_role != Role::kLeader || aTerm != m_hardState.m_term ||
@@ -314,18 +317,18 @@
   }
   Progress& progress = found->second;
   if (!aReply.m_accepted) {
-    const bool stale = aReply.m_sentAt <= progress.m_lastAckSentAt;
-    // The follower acknowledged more than it now holds: its folder went back
-    // to an old copy. Counting it again could elect a leader without
-    // acknowledged entries, so it stays out until it is replaced. Messages
-    // overtake each other, so only an answer to a request that left after
-    // the acknowledgement had arrived proves it.
-    const bool after = aReply.m_sentAt > progress.m_matchKnownAt;
-    if (after && aReply.m_match < progress.m_match) {
+    const bool isStale = aReply.m_sentAt <= progress.m_lastAckedSentAt;
+    // The follower acknowledged more than it now holds: its folder was replaced
+    // by an old copy. Counting it could elect a leader without acknowledged
+    // entries, so it is ignored until it is replaced. Messages can be
+    // reordered, so only the reply to a request sent after the acknowledgement
+    // had arrived proves it.
+    const bool isAfterMatch = aReply.m_sentAt > progress.m_matchAdvancedAt;
+    if (isAfterMatch && aReply.m_match < progress.m_match) {
       m_regressed.insert(aFrom);
       return;
     }
-    if (!stale) {
+    if (!isStale) {
       progress.m_next =
         std::max(Next(progress.m_match),
                  std::min(progress.m_next, Next(aReply.m_match)));
@@ -334,11 +337,11 @@
     }
     return;
   }
-  progress.m_lastAckSentAt =
-    std::max(progress.m_lastAckSentAt, aReply.m_sentAt);
+  progress.m_lastAckedSentAt =
+    std::max(progress.m_lastAckedSentAt, aReply.m_sentAt);
   if (aReply.m_match > progress.m_match) {
     progress.m_match = aReply.m_match;
-    progress.m_matchKnownAt = aNow;
+    progress.m_matchAdvancedAt = aNow;
   }
   progress.m_next = std::max(progress.m_next, Next(progress.m_match));
   progress.m_probing = false;
@@ -349,10 +352,10 @@
 }
 
 void
-Replica::On(const ReplicaId& aFrom,
-            const InstallSnapshot& aInstall,
-            Term aTerm,
-            TimePoint aNow)
+Replica::Handle(const ReplicaId& aFrom,
+                const InstallSnapshot& aInstall,
+                Term aTerm,
+                TimePoint aNow)
 {
   if (aTerm < m_hardState.m_term) {
     return;
@@ -363,20 +366,20 @@
     SendWhenSynced(aFrom, AppendReply{ true, m_commit, aInstall.m_sentAt });
     return;
   }
-  const bool keepsTail = TermAt(snapshot.m_index) == snapshot.m_term;
+  const bool keepsLaterEntries = TermAt(snapshot.m_index) == snapshot.m_term;
   while (!m_log.empty() &&
-         (!keepsTail || m_log.front().m_index <= snapshot.m_index)) {
+         (!keepsLaterEntries || m_log.front().m_index <= snapshot.m_index)) {
     m_log.pop_front();
   }
   m_snapshot = snapshot;
-  std::vector<MembershipAt> later{ { snapshot.m_index,
-                                     snapshot.m_membership } };
+  std::vector<MembershipEntry> memberships{ { snapshot.m_index,
+                                              snapshot.m_membership } };
   for (const LogEntry& entry : m_log) {
     if (const auto* change = std::get_if<Membership>(&entry.m_payload)) {
-      later.push_back({ entry.m_index, *change });
+      memberships.push_back({ entry.m_index, *change });
     }
   }
-  m_memberships = std::move(later);
+  m_memberships = std::move(memberships);
   m_commit = snapshot.m_index;
   m_applied = snapshot.m_index;
   m_actions.push_back(Restore{ m_snapshot });
@@ -406,8 +409,8 @@
   }
   std::sort(matches.rbegin(), matches.rend());
   const Index quorum = matches[matches.size() / 2];
-  // Entries of earlier terms count only through one of this term: a quorum
-  // holding an old entry does not keep a later leader from replacing it.
+  // Entries of earlier terms are committed only through one of this term: a
+  // later leader may still replace an old entry that a quorum holds.
   if (quorum > m_commit && TermAt(quorum) == m_hardState.m_term) {
     CommitTo(quorum);
     StepDownIfRemoved(aNow);
@@ -429,10 +432,10 @@
   m_actions.push_back(std::move(apply));
 }
 
-// --------------------------------------------------------------- membership
+// Membership changes.
 
 bool
-Replica::IsChangePending() const
+Replica::IsMembershipChangePending() const
 {
   return m_memberships.back().m_index > m_commit;
 }
@@ -446,12 +449,12 @@
   if (!IsReady()) {
     return Error::kNotReady;
   }
-  // One voter at a time: quorums before and after then overlap, which holds
-  // only while no second change is under way.
-  if (IsChangePending()) {
+  // Only one voter changes at a time, so that the quorums before and after the
+  // change overlap. This holds only while no second change is pending.
+  if (IsMembershipChangePending()) {
     return Error::kChangePending;
   }
-  AppendOwn(std::move(aMembership), aNow);
+  AppendToLog(std::move(aMembership), aNow);
   SendAppends(aNow, true);
   return Error::kNone;
 }
@@ -474,8 +477,8 @@
   Membership changed = CurrentMembership();
   auto& members = changed.m_members;
   const auto found =
-    std::find_if(members.begin(), members.end(), [&](const Member& aOne) {
-      return aOne.m_id.m_instance == aInstance;
+    std::find_if(members.begin(), members.end(), [&](const Member& aMember) {
+      return aMember.m_id.m_instance == aInstance;
     });
   if (found == members.end()) {
     return Error::kUnknownMember;
@@ -490,7 +493,7 @@
 void
 Replica::PromoteSyncedLearner(TimePoint aNow)
 {
-  if (!IsReady() || IsChangePending()) {
+  if (!IsReady() || IsMembershipChangePending()) {
     return;
   }
   for (const Member& member : CurrentMembership().m_members) {
@@ -498,19 +501,19 @@
       continue;
     }
     Membership changed = CurrentMembership();
-    const auto isEarlierLife = [&](const Member& aOne) {
-      return aOne.m_id.m_instance == member.m_id.m_instance &&
-             aOne.m_id != member.m_id;
+    const auto isEarlierIncarnation = [&](const Member& aMember) {
+      return aMember.m_id.m_instance == member.m_id.m_instance &&
+             aMember.m_id != member.m_id;
     };
-    const auto removed = std::erase_if(changed.m_members, isEarlierLife);
+    const auto removed = std::erase_if(changed.m_members, isEarlierIncarnation);
     const bool isFull = m_options.m_maxVoters > 0 &&
                         changed.VoterCount() >= m_options.m_maxVoters;
     if (removed == 0 && isFull) {
       continue;
     }
     if (removed == 0) {
-      for (Member& one : changed.m_members) {
-        one.m_voter = one.m_voter || one.m_id == member.m_id;
+      for (Member& candidate : changed.m_members) {
+        candidate.m_voter = candidate.m_voter || candidate.m_id == member.m_id;
       }
     }
     ProposeMembership(std::move(changed), aNow);
@@ -521,13 +524,13 @@
 void
 Replica::StepDownIfRemoved(TimePoint aNow)
 {
-  if (!IsChangePending() && !CurrentMembership().IsVoter(m_self)) {
+  if (!IsMembershipChangePending() && !CurrentMembership().IsVoter(m_self)) {
     SendAppends(aNow, true);
     BecomeFollower(m_hardState.m_term, aNow);
   }
 }
 
-// --------------------------------------------------------------------- disk
+// Persistence: snapshots, log writes, and messages that wait for a sync.
 
 void
 Replica::Compact(Index aApplied, std::string aState)
@@ -536,12 +539,12 @@
   if (!term || aApplied <= m_snapshot.m_index || aApplied > m_applied) {
     return;
   }
-  std::size_t inForce = 0;
-  while (inForce + 1 < m_memberships.size() &&
-         m_memberships[inForce + 1].m_index <= aApplied) {
-    ++inForce;
+  std::size_t effective = 0;
+  while (effective + 1 < m_memberships.size() &&
+         m_memberships[effective + 1].m_index <= aApplied) {
+    ++effective;
   }
-  m_memberships.erase(m_memberships.begin(), m_memberships.begin() + inForce);
+  m_memberships.erase(m_memberships.begin(), m_memberships.begin() + effective);
   m_snapshot = Snapshot{
     aApplied, *term, m_memberships.front().m_membership, std::move(aState)
   };
@@ -564,7 +567,7 @@
     m_memberships.pop_back();
   }
   m_persistedIndex = std::min(m_persistedIndex, Previous(aIndex));
-  // Writes still on their way hold entries that are replaced now; their
+  // Writes in progress may contain entries that are replaced now. Their
   // completion must not count for the entries that take the same positions.
   for (auto& [ticket, index] : m_ticketIndex) {
     index = std::min(index, Previous(aIndex));
@@ -599,9 +602,9 @@
     m_ticketIndex.erase(m_ticketIndex.begin());
   }
   m_persistedIndex = std::min(m_persistedIndex, LastIndex());
-  while (!m_held.empty() && m_held.front().m_ticket <= m_syncedTicket) {
-    m_actions.push_back(Send{ std::move(m_held.front().m_message) });
-    m_held.pop_front();
+  while (!m_deferred.empty() && m_deferred.front().m_ticket <= m_syncedTicket) {
+    m_actions.push_back(Send{ std::move(m_deferred.front().m_message) });
+    m_deferred.pop_front();
   }
   AdvanceCommit(aNow);
 }
@@ -630,7 +633,7 @@
     SendNow(aTo, std::move(aBody));
     return;
   }
-  m_held.push_back({ m_lastTicket, Compose(aTo, std::move(aBody)) });
+  m_deferred.push_back({ m_lastTicket, Compose(aTo, std::move(aBody)) });
 }
 
 } // namespace bamboostile::consensus
--- a/src/consensus/types.cpp
+++ b/src/consensus/types.cpp
@@ -8,9 +8,9 @@
 Membership::Find(const ReplicaId& aId) const
 {
   const auto found =
-    std::find_if(m_members.begin(), m_members.end(), [&](const Member& aOne) {
-      return aOne.m_id == aId;
-    });
+    std::find_if(m_members.begin(),
+                 m_members.end(),
+                 [&](const Member& aMember) { return aMember.m_id == aId; });
   return found == m_members.end() ? nullptr : &*found;
 }
 
@@ -26,7 +26,7 @@
 {
   return std::count_if(m_members.begin(),
                        m_members.end(),
-                       [](const Member& aOne) { return aOne.m_voter; });
+                       [](const Member& aMember) { return aMember.m_voter; });
 }
 
 const char*
--- a/tests/unit/consensus/membership_policy_test.cpp
+++ b/tests/unit/consensus/membership_policy_test.cpp
@@ -28,55 +28,56 @@
     return group;
   }
 
-  /** Two losses are to be survived. */
+  /** Five voters, so that the group survives the loss of two. */
   MembershipPolicy m_policy{ MembershipPolicyOptions{ 5 } };
 
-  void Hear(std::initializer_list<int> aFrom, std::int64_t aAt)
+  void ReceiveFrom(std::initializer_list<int> aSenders, std::int64_t aAt)
   {
-    for (const int one : aFrom) {
-      m_policy.OnHeard(Id(one), At(aAt));
+    for (const int sender : aSenders) {
+      m_policy.OnHeard(Id(sender), At(aAt));
     }
   }
 };
 
-// Callers lose everything that was acknowledged: two of five voters are away
-// for longer than a restart takes, both are taken out of the group, and then
-// the disks of two of the three that are left are lost. With both kept, the
-// three that hold everything still are the majority of five when they return.
-TEST(MembershipPolicy, TwoOfFiveVotersSilentWithoutSpare_BothKeepTheirPlaces)
+// Two of five voters are unresponsive for longer than a restart takes. If both
+// were removed and the disks of two of the three others were then lost,
+// everything acknowledged would be lost. If both stay, they and the one
+// remaining replica, three that hold everything, are the majority of five once
+// they return.
+TEST(MembershipPolicy, TwoOfFiveVotersUnresponsiveWithoutSpare_BothStay)
 {
   const Membership group = Group(5, 0);
-  Hear({ 2, 3, 4, 5 }, 1000);
-  Hear({ 2, 3 }, 20'000);
+  ReceiveFrom({ 2, 3, 4, 5 }, 1000);
+  ReceiveFrom({ 2, 3 }, 20'000);
   CHECK_FALSE(
     m_policy.FindReplaceable(group, Id(1), {}, At(20'000)).has_value());
 }
 
-TEST(MembershipPolicy, SilentVoterAndSyncedLearner_VoterIsReplaced)
+TEST(MembershipPolicy, UnresponsiveVoterAndSyncedLearner_VoterIsReplaced)
 {
   const Membership group = Group(5, 1);
-  Hear({ 2, 3, 4, 5, 6 }, 1000);
-  Hear({ 2, 3, 4, 6 }, 7500);
+  ReceiveFrom({ 2, 3, 4, 5, 6 }, 1000);
+  ReceiveFrom({ 2, 3, 4, 6 }, 7500);
   const auto found =
     m_policy.FindReplaceable(group, Id(1), { Id(6) }, At(7500));
   CHECK(found.has_value());
   CHECK_STRING("c5", found->m_id.m_instance.Get());
 }
 
-TEST(MembershipPolicy, SilentLearner_TakesNoVotersPlace)
+TEST(MembershipPolicy, UnresponsiveLearner_ReplacesNoVoter)
 {
   const Membership group = Group(5, 1);
-  Hear({ 2, 3, 4, 5, 6 }, 1000);
-  Hear({ 2, 3, 4 }, 7500);
+  ReceiveFrom({ 2, 3, 4, 5, 6 }, 1000);
+  ReceiveFrom({ 2, 3, 4 }, 7500);
   CHECK_FALSE(
     m_policy.FindReplaceable(group, Id(1), { Id(6) }, At(7500)).has_value());
 }
 
-TEST(MembershipPolicy, MoreVotersThanNeeded_SilentOneLeaves)
+TEST(MembershipPolicy, MoreVotersThanNeeded_UnresponsiveVoterIsRemoved)
 {
   const Membership group = Group(6, 0);
-  Hear({ 2, 3, 4, 5, 6 }, 1000);
-  Hear({ 2, 3, 4, 5 }, 7500);
+  ReceiveFrom({ 2, 3, 4, 5, 6 }, 1000);
+  ReceiveFrom({ 2, 3, 4, 5 }, 7500);
   CHECK(m_policy.FindReplaceable(group, Id(1), {}, At(7500)).has_value());
 }
 
@@ -87,16 +88,16 @@
   CHECK(m_policy.IsFormed(Group(5, 0), At(6000)));
 }
 
-TEST(MembershipPolicy, FewerDisksThanVoters_GroupIsFormedOnceNobodyJoins)
+TEST(MembershipPolicy, FewerDisksThanVoters_GroupIsFormedOnceSizeIsStable)
 {
   CHECK_FALSE(m_policy.IsFormed(Group(3, 0), At(1000)));
   CHECK_FALSE(m_policy.IsFormed(Group(3, 0), At(5900)));
   CHECK(m_policy.IsFormed(Group(3, 0), At(6000)));
 }
 
-// The other seeds are late or cut off. The founder alone would acknowledge what
-// is lost with its disk.
-TEST(MembershipPolicy, FounderAlone_IsNoGroupHoweverLongItWaits)
+// The other seeds are late or cut off. Anything that the founder acknowledged
+// alone would be lost with its disk.
+TEST(MembershipPolicy, FewerThanMinVoters_GroupIsNeverFormed)
 {
   CHECK_FALSE(m_policy.IsFormed(Group(1, 0), At(1000)));
   CHECK_FALSE(m_policy.IsFormed(Group(1, 0), At(60'000)));
--- a/tests/unit/consensus/replica_test.cpp
+++ b/tests/unit/consensus/replica_test.cpp
@@ -8,23 +8,24 @@
 
 namespace {
 
-constexpr Duration kLong = std::chrono::seconds{ 30 };
+constexpr Duration kMaxWait = std::chrono::seconds{ 30 };
 
 /** Longer than every timeout of a replica. */
 constexpr Duration kPastTimeouts = std::chrono::seconds{ 4 };
 
 bool
-Write(Replicas& aReplicas, const std::string& aCommand)
+ProposeAndWait(Replicas& aReplicas, const std::string& aCommand)
 {
   const std::size_t before = aReplicas.Acknowledged().size();
   return aReplicas.RunUntil([&]() { return aReplicas.Propose(aCommand); },
-                            kLong) &&
+                            kMaxWait) &&
          aReplicas.RunUntil(
-           [&]() { return aReplicas.Acknowledged().size() > before; }, kLong);
+           [&]() { return aReplicas.Acknowledged().size() > before; },
+           kMaxWait);
 }
 
 bool
-Holds(const Replicas& aReplicas, const std::string& aCommand)
+IsAcknowledged(const Replicas& aReplicas, const std::string& aCommand)
 {
   for (const auto& [index, text] : aReplicas.Acknowledged()) {
     if (text.ends_with(":" + aCommand)) {
@@ -36,7 +37,7 @@
 
 } // namespace
 
-TEST_GROUP(Replica){ void Sound(const Replicas& aReplicas){
+TEST_GROUP(Replica){ void CheckNoViolation(const Replicas& aReplicas){
   CHECK_STRING("", aReplicas.Violation());
 }
 }
@@ -45,7 +46,7 @@
 TEST(Replica, EmptyReplica_WithoutBootstrap_NeverVotesOrLeads)
 {
   Replicas replicas(3, 1, {});
-  replicas.Run(kLong);
+  replicas.Run(kMaxWait);
   CHECK_FALSE(replicas.Leader().has_value());
   for (std::size_t i = 0; i < replicas.Size(); ++i) {
     LONGS_EQUAL(0, replicas.At(i).CurrentTerm().Get());
@@ -56,34 +57,34 @@
 {
   Replicas replicas(3, 2, {});
   CHECK(replicas.Form());
-  CHECK(Write(replicas, "a"));
+  CHECK(ProposeAndWait(replicas, "a"));
   replicas.Run(kPastTimeouts);
   for (std::size_t i = 0; i < replicas.Size(); ++i) {
     CHECK(replicas.AppliedBy(i) == replicas.AppliedBy(0));
   }
-  Sound(replicas);
+  CheckNoViolation(replicas);
 }
 
-// The operator has an answer, then the leader dies. A new one must have the
-// change: the answer was given only after a quorum had synced it.
+// The leader dies after it has acknowledged a change. The new leader must have
+// that change, since it was acknowledged only after a quorum had synced it.
 TEST(Replica, Leader_KilledAfterAcknowledgement_ChangeSurvives)
 {
   Replicas replicas(3, 3, {});
   CHECK(replicas.Form());
-  CHECK(Write(replicas, "a"));
+  CHECK(ProposeAndWait(replicas, "a"));
   const std::size_t old = *replicas.Leader();
   replicas.Crash(old);
-  CHECK(Write(replicas, "b"));
+  CHECK(ProposeAndWait(replicas, "b"));
   const std::size_t now = *replicas.Leader();
   CHECK(now != old);
   LONGS_EQUAL(replicas.Acknowledged().rbegin()->first.Get(),
               replicas.AppliedBy(now).Get());
-  CHECK(Holds(replicas, "a"));
-  Sound(replicas);
+  CHECK(IsAcknowledged(replicas, "a"));
+  CheckNoViolation(replicas);
 }
 
-// All processes die at once, with writes between the queue and the disk. What
-// was acknowledged had been synced by a quorum, and comes back.
+// All processes die at once, with writes between the queue and the disk.
+// Everything acknowledged had been synced by a quorum and must be recovered.
 TEST(Replica, AllKilledAtOnce_Restarted_NothingAcknowledgedIsLost)
 {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -91,7 +92,7 @@
     slow.m_maxSync = Millis{ 20 };
     Replicas replicas(3, seed, slow);
     CHECK(replicas.Form());
-    CHECK(Write(replicas, "a"));
+    CHECK(ProposeAndWait(replicas, "a"));
     for (int i = 0; i < 10; ++i) {
       replicas.Propose("b" + std::to_string(i));
     }
@@ -102,31 +103,31 @@
     for (std::size_t i = 0; i < replicas.Size(); ++i) {
       replicas.Start(i);
     }
-    CHECK(Write(replicas, "c"));
-    Sound(replicas);
+    CHECK(ProposeAndWait(replicas, "c"));
+    CheckNoViolation(replicas);
   }
 }
 
-// A minority loses its disks, comes back empty, and must not vote as its old
-// self: its lost vote or entries could let a second leader win. It is admitted
-// again as a new life, and only then, synced, does it count.
+// A minority loses its disks and restarts empty. It must not vote under its old
+// identity: its lost vote or entries could let a second leader win. It counts
+// only once it has been added as a new incarnation and is synced.
 TEST(Replica, LostDisk_ComesBackEmpty_CannotVoteUntilAdmittedAndSynced)
 {
   Replicas replicas(3, 5, {});
   CHECK(replicas.Form());
-  CHECK(Write(replicas, "a"));
+  CHECK(ProposeAndWait(replicas, "a"));
   const std::size_t leader = *replicas.Leader();
   const std::size_t lost = (leader + 1) % 3;
   const std::size_t other = (leader + 2) % 3;
   replicas.LoseDisk(lost);
   replicas.Start(lost);
-  // The leader goes too. Two of three processes run, but one of them lost its
-  // memory: they must not make a leader.
+  // The leader crashes too. Two of three processes run, but one of them has
+  // lost its data: they must not elect a leader.
   replicas.Crash(leader);
-  replicas.Run(kLong);
+  replicas.Run(kMaxWait);
   CHECK_FALSE(replicas.Leader().has_value());
   replicas.Start(leader);
-  CHECK(Write(replicas, "b"));
+  CHECK(ProposeAndWait(replicas, "b"));
   const std::size_t now = *replicas.Leader();
   CHECK(now == leader || now == other);
   replicas.At(now).AddMember({ replicas.At(lost).Self(), "r", false },
@@ -137,21 +138,20 @@
     return membership.IsVoter(replicas.At(lost).Self()) &&
            membership.m_members.size() == 3;
   };
-  CHECK(replicas.RunUntil(repaired, kLong));
-  Sound(replicas);
+  CHECK(replicas.RunUntil(repaired, kMaxWait));
+  CheckNoViolation(replicas);
 }
 
-// Callers get no answer for as long as the group is split in two halves: of
-// four voters neither half is a majority. With three that vote and one that
-// only follows, one half always goes on.
-TEST(Replica, FourReplicasSplitInHalves_OneHalfGoesOn)
+// Of four voters split into two halves neither half is a majority, and callers
+// get no answer. With three voters and one learner, one half can always commit.
+TEST(Replica, FourReplicasSplitInHalves_OneHalfCommits)
 {
   for (const std::size_t with : { 1, 2, 3 }) {
     test::Faults faults;
     faults.m_options.m_maxVoters = 3;
     Replicas replicas(4, with, faults);
     CHECK(replicas.Form());
-    CHECK(Write(replicas, "a"));
+    CHECK(ProposeAndWait(replicas, "a"));
     for (std::size_t from = 0; from < 4; ++from) {
       for (std::size_t to = 0; to < 4; ++to) {
         const bool fromHalf = from == 0 || from == with;
@@ -159,20 +159,20 @@
         replicas.Cut(from, to, fromHalf != toHalf);
       }
     }
-    replicas.Run(kLong);
-    CHECK(Write(replicas, "b"));
-    Sound(replicas);
+    replicas.Run(kMaxWait);
+    CHECK(ProposeAndWait(replicas, "b"));
+    CheckNoViolation(replicas);
   }
 }
 
-// One replica was lost and repaired a moment ago; now a second one dies. What
-// was acknowledged in between must be on the repaired one.
-TEST(Replica, SecondLoss_RightBehindRepairOfFirst_LosesNothing)
+// A second replica is lost right after the first one was repaired. Everything
+// acknowledged in between must be on the repaired one.
+TEST(Replica, SecondLoss_RightAfterRepairOfFirst_LosesNothing)
 {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Replicas replicas(3, seed, {});
     CHECK(replicas.Form());
-    CHECK(Write(replicas, "a"));
+    CHECK(ProposeAndWait(replicas, "a"));
     std::size_t leader = *replicas.Leader();
     const std::size_t first = (leader + 1) % 3;
     const std::size_t second = (leader + 2) % 3;
@@ -185,67 +185,68 @@
       return replicas.At(leader).CurrentMembership().IsVoter(
         replicas.At(first).Self());
     };
-    CHECK(replicas.RunUntil(repaired, kLong));
-    CHECK(Write(replicas, "b"));
+    CHECK(replicas.RunUntil(repaired, kMaxWait));
+    CHECK(ProposeAndWait(replicas, "b"));
     replicas.LoseDisk(second);
-    CHECK(Write(replicas, "c"));
+    CHECK(ProposeAndWait(replicas, "c"));
     replicas.Crash(leader);
     replicas.Start(leader);
-    CHECK(Write(replicas, "d"));
-    CHECK(Holds(replicas, "a"));
-    CHECK(Holds(replicas, "b"));
-    Sound(replicas);
+    CHECK(ProposeAndWait(replicas, "d"));
+    CHECK(IsAcknowledged(replicas, "a"));
+    CHECK(IsAcknowledged(replicas, "b"));
+    CheckNoViolation(replicas);
   }
 }
 
-// A folder is restored from an old backup while the leader lives: the replica
-// has forgotten entries that it acknowledged. The leader notices at its first
-// answer and stops counting it, also for its lease.
-TEST(Replica, OldCopyOfFolder_Restored_IsNoticedAndNotCounted)
+// A folder is restored from an old backup while the leader runs, so the replica
+// has lost entries that it acknowledged. The leader detects this at the
+// replica's first reply and stops counting it, also for its lease.
+TEST(Replica, OldCopyOfFolder_Restored_IsDetectedAndNotCounted)
 {
   Replicas replicas(3, 7, {});
   CHECK(replicas.Form());
-  CHECK(Write(replicas, "a"));
+  CHECK(ProposeAndWait(replicas, "a"));
   const std::size_t leader = *replicas.Leader();
   const std::size_t old = (leader + 1) % 3;
   replicas.CopyDisk(old);
-  CHECK(Write(replicas, "b"));
+  CHECK(ProposeAndWait(replicas, "b"));
   replicas.Run(Millis{ 500 });
   replicas.RestoreDisk(old);
   replicas.Start(old);
   replicas.Run(Millis{ 700 });
   CHECK(replicas.At(leader).Regressed().contains(replicas.At(old).Self()));
-  CHECK(Write(replicas, "c"));
-  Sound(replicas);
+  CHECK(ProposeAndWait(replicas, "c"));
+  CheckNoViolation(replicas);
 }
 
-// The leader stops for longer than every timeout and wakes up believing that
-// it still leads. Its first look at the clock must end that.
-TEST(Replica, Leader_FrozenPastTimeoutsThenWoken_GivesNoStaleRead)
+// The leader is frozen for longer than every timeout and resumes in the belief
+// that it still leads. It must find its lease expired as soon as it reads the
+// clock.
+TEST(Replica, Leader_FrozenPastTimeoutsThenResumed_GivesNoStaleRead)
 {
   Replicas replicas(3, 8, {});
   CHECK(replicas.Form());
-  CHECK(Write(replicas, "a"));
+  CHECK(ProposeAndWait(replicas, "a"));
   const std::size_t old = *replicas.Leader();
   replicas.Freeze(old, true);
-  CHECK(Write(replicas, "b"));
+  CHECK(ProposeAndWait(replicas, "b"));
   CHECK_FALSE(replicas.At(old).HoldsLease(replicas.LocalNow(old)));
   replicas.Freeze(old, false);
   CHECK_FALSE(replicas.At(old).HoldsLease(replicas.LocalNow(old)));
-  CHECK(Write(replicas, "c"));
-  Sound(replicas);
+  CHECK(ProposeAndWait(replicas, "c"));
+  CheckNoViolation(replicas);
 }
 
-// A leader is cut off in silence for long. The others go on; it steps down by
-// itself, so that its callers go elsewhere; and when it is back, nobody needs
-// another election because of it.
-TEST(Replica, Leader_IsolatedLong_StepsDownAndDisturbsNobodyOnReturn)
+// A leader is isolated for a long time while the others elect a new one. It
+// must step down by itself, so that its callers turn to another replica, and
+// its return must not cause an election.
+TEST(Replica, Leader_IsolatedLong_StepsDownAndCausesNoElectionOnReturn)
 {
   Replicas replicas(3, 9, {});
   CHECK(replicas.Form());
   const std::size_t old = *replicas.Leader();
   replicas.Isolate(old, true);
-  CHECK(Write(replicas, "a"));
+  CHECK(ProposeAndWait(replicas, "a"));
   replicas.Run(std::chrono::minutes{ 3 });
   CHECK(replicas.At(old).CurrentRole() != consensus::Role::kLeader);
   const std::size_t elections = replicas.ElectionCount();
@@ -253,48 +254,48 @@
   replicas.Run(std::chrono::seconds{ 20 });
   LONGS_EQUAL(elections, replicas.ElectionCount());
   CHECK(replicas.AppliedBy(old) == replicas.AppliedBy(*replicas.Leader()));
-  Sound(replicas);
+  CheckNoViolation(replicas);
 }
 
-// The leader can send but hears nothing. Its heartbeats keep the others from
-// electing, so it has to give up by itself.
-TEST(Replica, Leader_CutInOneDirection_GroupGoesOn)
+// The leader's links are cut in one direction. If it can send but not receive,
+// its heartbeats keep the others from electing, so it must step down by itself.
+TEST(Replica, Leader_CutInOneDirection_GroupElectsAnother)
 {
-  for (const bool hears : { false, true }) {
+  for (const bool receives : { false, true }) {
     Replicas replicas(3, 10, {});
     CHECK(replicas.Form());
     const std::size_t old = *replicas.Leader();
     for (std::size_t i = 0; i < 3; ++i) {
       if (i != old) {
-        replicas.Cut(hears ? old : i, hears ? i : old, true);
+        replicas.Cut(receives ? old : i, receives ? i : old, true);
       }
     }
     replicas.Run(kPastTimeouts);
-    CHECK(Write(replicas, "a"));
+    CHECK(ProposeAndWait(replicas, "a"));
     CHECK(*replicas.Leader() != old);
-    Sound(replicas);
+    CheckNoViolation(replicas);
   }
 }
 
-// A voter restarts within the lease of its leader. It has forgotten that it
-// heard from it; if it voted at once, a second leader could win while the
-// first still answers reads.
+// A voter restarts within its leader's lease and no longer knows that it heard
+// from that leader. If it voted at once, a second leader could win while
+// the first still answers reads.
 TEST(Replica, Follower_RestartedInsideLease_DoesNotVoteAtOnce)
 {
   Replicas replicas(3, 11, {});
   CHECK(replicas.Form());
   const std::size_t leader = *replicas.Leader();
-  const std::size_t one = (leader + 1) % 3;
-  replicas.Crash(one);
-  replicas.Start(one);
+  const std::size_t follower = (leader + 1) % 3;
+  replicas.Crash(follower);
+  replicas.Start(follower);
   consensus::Message vote{ replicas.At((leader + 2) % 3).Self(),
-                           replicas.At(one).Self(),
+                           replicas.At(follower).Self(),
                            Term{ 99 },
                            consensus::VoteRequest{
                              false, Index{ 1000 }, Term{ 98 } } };
-  replicas.At(one).Receive(vote, replicas.LocalNow(one));
-  replicas.Drain(one);
-  CHECK(replicas.At(one).CurrentTerm() < Term{ 99 });
+  replicas.At(follower).Receive(vote, replicas.LocalNow(follower));
+  replicas.Drain(follower);
+  CHECK(replicas.At(follower).CurrentTerm() < Term{ 99 });
 }
 
 TEST(Replica, MembershipChange_WhileAnotherPends_IsRefused)
@@ -315,13 +316,14 @@
 {
   Replicas replicas(1, 13, {});
   CHECK(replicas.Form());
-  CHECK(replicas.RunUntil([&]() { return replicas.At(0).IsReady(); }, kLong));
+  CHECK(
+    replicas.RunUntil([&]() { return replicas.At(0).IsReady(); }, kMaxWait));
   CHECK(replicas.At(0).RemoveMember(replicas.At(0).Self().m_instance,
                                     replicas.LocalNow(0)) ==
         consensus::Error::kLastVoter);
 }
 
-TEST(Replica, Laggard_BehindSnapshot_CatchesUpFromIt)
+TEST(Replica, Follower_BehindSnapshot_CatchesUpFromIt)
 {
   Replicas replicas(3, 14, {});
   CHECK(replicas.Form());
@@ -329,7 +331,7 @@
   const std::size_t behind = (leader + 1) % 3;
   replicas.Crash(behind);
   for (int i = 0; i < 50; ++i) {
-    CHECK(Write(replicas, "x" + std::to_string(i)));
+    CHECK(ProposeAndWait(replicas, "x" + std::to_string(i)));
   }
   replicas.At(leader).Compact(replicas.AppliedBy(leader),
                               replicas.StateOf(leader));
@@ -338,8 +340,8 @@
   const auto caughtUp = [&]() {
     return replicas.AppliedBy(behind) == replicas.AppliedBy(leader);
   };
-  CHECK(replicas.RunUntil(caughtUp, kLong));
-  Sound(replicas);
+  CHECK(replicas.RunUntil(caughtUp, kMaxWait));
+  CheckNoViolation(replicas);
 }
 
 namespace {
@@ -367,7 +369,7 @@
   return state;
 }
 
-/** Syncs everything handed to the disk so far. */
+/** Reports every write handed to the disk so far as synced. */
 std::vector<consensus::Action>
 SyncAll(consensus::Replica& aReplica, TimePoint aNow)
 {
@@ -386,9 +388,9 @@
 
 } // namespace
 
-// An entry of an earlier term sits on a quorum, but no entry of the new
-// leader's own term does. A replica with a later term could still win and
-// replace it; reporting it as decided would let it be taken back.
+// An entry of an earlier term is held by a quorum, but no entry of the new
+// leader's own term is. A replica with a later term could still win and replace
+// it, so it must not be committed by counting replicas.
 TEST(Replica, Leader_EntryOfEarlierTermOnQuorum_IsNotCommittedByCounting)
 {
   const TimePoint start{ std::chrono::hours{ 1 } };
@@ -417,8 +419,9 @@
   LONGS_EQUAL(3, replica.CommitIndex().Get());
 }
 
-// Entries are on their way to the disk when a new leader replaces them. The
-// old write completes; it must not count for what took the same positions.
+// A new leader replaces entries whose write is still in progress. The
+// completion of the old write must not count for the new entries at the same
+// positions.
 TEST(Replica, Follower_WriteCompletesAfterTruncation_DoesNotCountForNewEntries)
 {
   const TimePoint now{ std::chrono::hours{ 1 } };
@@ -442,10 +445,10 @@
   LONGS_EQUAL(1, replica.MatchOf(kA).Get());
 }
 
-// The leader dies while callers wait. Until there is another nothing starts, so
-// there must be one within a second: in three cases of sixty two split the
-// votes, and a second round is needed.
-TEST(Replica, LeaderKilled_AnotherLeadsWithinASecond)
+// No task starts while there is no leader, so a new one must be elected within
+// a second. Three of sixty runs may take longer: two candidates split the vote,
+// and a second round is needed.
+TEST(Replica, LeaderKilled_NewLeaderWithinASecond)
 {
   constexpr int kSeeds = 60;
   constexpr int kSplitVotes = 3;
@@ -453,7 +456,7 @@
   for (int seed = 1; seed <= kSeeds; ++seed) {
     Replicas replicas(5, static_cast<std::uint64_t>(seed), {});
     CHECK(replicas.Form());
-    CHECK(Write(replicas, "a"));
+    CHECK(ProposeAndWait(replicas, "a"));
     replicas.Crash(*replicas.Leader());
     const auto isLed = [&]() {
       const auto leader = replicas.Leader();
@@ -461,23 +464,23 @@
     };
     const bool isPrompt = replicas.RunUntil(isLed, Millis{ 1000 });
     late += isPrompt ? 0 : 1;
-    CHECK(isPrompt || replicas.RunUntil(isLed, kLong));
+    CHECK(isPrompt || replicas.RunUntil(isLed, kMaxWait));
   }
   CHECK(late <= kSplitVotes);
 }
 
-// Power fails for all. Callers wait until one leads again; as every voter says
-// that it has heard from no leader since it started, none waits out a lease
-// that nobody holds. Half the usual silence allows for one split vote.
-TEST(Replica, AllRestarted_OneLeadsBeforeAnyLeaseWouldEnd)
+// All replicas lose power. Every voter reports that it has not heard from a
+// leader since it started, so none has to wait for the end of a lease that
+// nobody holds. Half the minimum election timeout allows for one split vote.
+TEST(Replica, AllRestarted_LeaderElectedBeforeAnyLeaseWouldEnd)
 {
   constexpr int kSeeds = 60;
-  const Duration promptly = consensus::ReplicaOptions{}.m_electionMin / 2;
+  const Duration maxWait = consensus::ReplicaOptions{}.m_electionMin / 2;
   int late = 0;
   for (int seed = 1; seed <= kSeeds; ++seed) {
     Replicas replicas(5, static_cast<std::uint64_t>(seed), {});
     CHECK(replicas.Form());
-    CHECK(Write(replicas, "a"));
+    CHECK(ProposeAndWait(replicas, "a"));
     for (std::size_t i = 0; i < replicas.Size(); ++i) {
       replicas.Crash(i);
     }
@@ -489,24 +492,24 @@
       const auto leader = replicas.Leader();
       return leader && replicas.At(*leader).IsReady();
     };
-    late += replicas.RunUntil(isLed, promptly) ? 0 : 1;
-    CHECK(Write(replicas, "b"));
-    CHECK(Holds(replicas, "a"));
-    Sound(replicas);
+    late += replicas.RunUntil(isLed, maxWait) ? 0 : 1;
+    CHECK(ProposeAndWait(replicas, "b"));
+    CHECK(IsAcknowledged(replicas, "a"));
+    CheckNoViolation(replicas);
   }
   LONGS_EQUAL(0, late);
 }
 
-// The leader stands still while all others restart, then goes on and still
-// answers reads under its lease. It has not said that it does not lead, so the
-// others wait out that lease; were they to vote at once, callers of the old
-// leader would read what the new one has replaced.
-TEST(Replica, AllButTheLeaderRestarted_ItsLeaseIsWaitedFor)
+// The leader is frozen while all others restart, then resumes and still answers
+// reads under its lease. It has not reported that it does not lead, so the
+// others must wait for that lease to end; otherwise callers of the old leader
+// could read data that the new one has replaced.
+TEST(Replica, AllButTheLeaderRestarted_OthersWaitForItsLease)
 {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Replicas replicas(5, seed, {});
     CHECK(replicas.Form());
-    CHECK(Write(replicas, "a"));
+    CHECK(ProposeAndWait(replicas, "a"));
     const std::size_t old = *replicas.Leader();
     replicas.Freeze(old, true);
     for (std::size_t i = 0; i < replicas.Size(); ++i) {
@@ -518,15 +521,15 @@
     replicas.Run(consensus::ReplicaOptions{}.m_electionMin * 9 / 10);
     CHECK_FALSE(replicas.Leader().has_value());
     replicas.Freeze(old, false);
-    CHECK(Write(replicas, "b"));
-    Sound(replicas);
+    CHECK(ProposeAndWait(replicas, "b"));
+    CheckNoViolation(replicas);
   }
 }
 
-// A voter says that it knows of no leader, then hears from one, and the vote
-// request that its word has led to comes late. It is refused: the leader that
-// was elected meanwhile holds a lease.
-TEST(Replica, LeaderHeardAfterSayingThereIsNone_VoteIsNotGivenEarly)
+// A voter reports that it knows of no leader, then hears from one, and then
+// receives the delayed vote request that its report led to. It must refuse: the
+// leader that was elected meanwhile holds a lease.
+TEST(Replica, LeaderContactAfterNoLeaderReply_VoteIsNotGrantedEarly)
 {
   const consensus::ReplicaId self{ InstanceId{ "a" }, Incarnation{ 1 } };
   const consensus::ReplicaId candidate{ InstanceId{ "b" }, Incarnation{ 1 } };
@@ -539,7 +542,7 @@
     group.m_members.push_back({ id, id.m_instance.Get(), true });
   }
   recovered.m_entries.push_back({ Index{ 1 }, Term{ 1 }, group });
-  const auto persist = [&](consensus::Replica& aReplica) {
+  const auto syncAndCollectVotes = [&](consensus::Replica& aReplica) {
     std::vector<consensus::VoteReply> replies;
     for (auto actions = aReplica.TakeActions(); !actions.empty();
          actions = aReplica.TakeActions()) {
@@ -561,23 +564,23 @@
   };
   const consensus::VoteRequest preVote{ true, Index{ 1 }, Term{ 1 } };
   const consensus::VoteRequest vote{ false, Index{ 1 }, Term{ 1 } };
-  for (const bool hears : { false, true }) {
+  for (const bool receives : { false, true }) {
     consensus::Replica replica(self, {}, recovered, now);
     replica.Receive({ candidate, self, Term{ 4 }, preVote }, now);
-    const auto said = persist(replica);
-    LONGS_EQUAL(1, said.size());
-    CHECK(said[0].m_knowsNoLeader);
-    CHECK_FALSE(said[0].m_granted);
-    if (hears) {
+    const auto preVoteReplies = syncAndCollectVotes(replica);
+    LONGS_EQUAL(1, preVoteReplies.size());
+    CHECK(preVoteReplies[0].m_knowsNoLeader);
+    CHECK_FALSE(preVoteReplies[0].m_granted);
+    if (receives) {
       consensus::AppendRequest heartbeat;
       heartbeat.m_previousIndex = Index{ 1 };
       heartbeat.m_previousTerm = Term{ 1 };
       replica.Receive({ leader, self, Term{ 3 }, heartbeat }, now);
-      persist(replica);
+      syncAndCollectVotes(replica);
     }
     replica.Receive({ candidate, self, Term{ 4 }, vote }, now);
-    const auto voted = persist(replica);
-    LONGS_EQUAL(hears ? 0 : 1, voted.size());
-    CHECK(hears || voted[0].m_granted);
+    const auto voteReplies = syncAndCollectVotes(replica);
+    LONGS_EQUAL(receives ? 0 : 1, voteReplies.size());
+    CHECK(receives || voteReplies[0].m_granted);
   }
 }
