--- a/include/bamboostile/storage/log_store.h
+++ b/include/bamboostile/storage/log_store.h
@@ -21,12 +21,12 @@
   kDamaged,
   kIncomplete,
   kStopped,
-  kRefused,
+  kWriteFailed,
 };
 
 const char* Describe(Error aError) noexcept;
 
-/** The last reason why a call of this layer failed. */
+/** The most recent reason why a call of this layer failed. */
 struct Failure
 {
   Error m_error = Error::kNone;
@@ -35,26 +35,26 @@
   std::string m_detail;
 };
 
-/** One line that names the file and the offset. */
+/** Returns one line that names the file and the offset. */
 std::string ToText(const Failure& aFailure);
 
-/** Whether the same write may be tried again: what the disk refused of it has
- * been taken back. */
+/** Returns true if the same write may be retried: any part of it that reached
+ * the disk has been removed. */
 bool MayPass(const Failure& aFailure) noexcept;
 
-/** The system calls that can fail under us; tests replace them. */
+/** The system calls that can fail; tests replace them. */
 struct FileCalls
 {
   std::function<ssize_t(int, const void*, std::size_t)> m_write;
   std::function<int(int)> m_sync;
-  /** Cuts a file off and goes on writing at its new end. */
-  std::function<bool(int, std::uint64_t)> m_cut;
+  /** Truncates a file and moves the write position to its new end. */
+  std::function<bool(int, std::uint64_t)> m_truncate;
 
   static FileCalls Posix();
 };
 
-/** Bytes cut off at the end of the log: a write that was never completed. */
-struct CutTail
+/** Bytes removed at the end of the log: a write that was never completed. */
+struct TruncatedTail
 {
   std::filesystem::path m_file;
   std::uint64_t m_offset = 0;
@@ -67,18 +67,18 @@
   /** The folder was empty: this replica has a new incarnation. */
   bool m_fresh = false;
   consensus::RecoveredState m_recovered;
-  std::optional<CutTail> m_cut;
+  std::optional<TruncatedTail> m_cut;
 };
 
 /**
  * @brief The data folder of one replica: identity, votes, log and snapshot.
  *
- * Each Write() is one checksummed frame, synced before it returns. A disk that
- * takes no bytes (full, for one) leaves the log as it was, and the same write
- * may be tried again. Once a sync failed, nothing is written any more: what the
- * kernel then holds is unknown, and a second sync may report success for lost
- * pages.
- * One thread at a time may use it.
+ * Each Write() is one checksummed frame, synced before it returns. If the disk
+ * accepts no bytes (for example because it is full), the log stays as it was
+ * and the same write may be retried. Once a sync has failed, nothing more is
+ * written: the state of the kernel's pages is unknown, and a second sync may
+ * report success for lost pages.
+ * Only one thread at a time may use it.
  */
 class LogStore
 {
@@ -92,7 +92,7 @@
   LogStore(const LogStore&) = delete;
   LogStore& operator=(const LogStore&) = delete;
 
-  /** Writes and syncs; a snapshot starts a new file with it. */
+  /** Writes and syncs a frame; a snapshot starts a new log file with it. */
   bool Write(const consensus::Persist& aPersist, Failure& aFailure);
 
   /** Bytes of the log file that a restart has to read. */
@@ -112,24 +112,24 @@
   bool ReadLog(Opened& aOpened, Failure& aFailure);
   bool OpenLog(Failure& aFailure);
   bool Append(const std::string& aFrame, Failure& aFailure);
-  bool Replace(const consensus::Persist& aPersist, Failure& aFailure);
-  bool WriteWhole(const std::filesystem::path& aFile,
-                  const std::string& aBytes,
-                  Failure& aFailure);
+  bool ReplaceLog(const consensus::Persist& aPersist, Failure& aFailure);
+  bool WriteAtomically(const std::filesystem::path& aFile,
+                       const std::string& aBytes,
+                       Failure& aFailure);
   bool SyncFolder(Failure& aFailure);
   bool Fail(Failure& aFailure, const std::filesystem::path& aFile);
-  bool TakeBack(Failure& aFailure);
+  bool RollbackAppend(Failure& aFailure);
   bool WriteAll(int aFd, const std::string& aBytes) const;
   std::filesystem::path LogFile(std::uint64_t aGeneration) const;
 
   std::filesystem::path m_folder;
   FileCalls m_calls;
-  int m_lock = -1;
-  int m_log = -1;
+  int m_lockFd = -1;
+  int m_logFd = -1;
   std::uint64_t m_generation = 0;
   std::uint64_t m_size = 0;
   consensus::HardState m_hardState;
-  std::optional<Failure> m_stopped;
+  std::optional<Failure> m_permanentFailure;
 };
 
 } // namespace bamboostile::storage
--- a/src/storage/frame.cpp
+++ b/src/storage/frame.cpp
@@ -30,7 +30,7 @@
 } // namespace
 
 std::string
-Seal(const std::string& aBody)
+MakeFrame(const std::string& aBody)
 {
   std::array<std::uint32_t, 4> header{
     kMagic, static_cast<std::uint32_t>(aBody.size()), Checksum(aBody), 0
@@ -44,39 +44,39 @@
   return frame;
 }
 
-FrameAt
+FrameReadResult
 ReadFrame(std::string_view aFile, std::size_t aOffset)
 {
   if (aFile.size() - aOffset < kFrameHeaderBytes) {
-    return { FrameState::kShort, {}, aFile.size() };
+    return { FrameState::kTruncated, {}, aFile.size() };
   }
   const std::string_view rest = aFile.substr(aOffset);
-  const bool headerGood =
+  const bool isHeaderValid =
     WordAt(rest, 0) == kMagic &&
     WordAt(rest, 12) == Checksum(rest.substr(0, 3 * sizeof(std::uint32_t)));
-  if (!headerGood) {
-    return { FrameState::kBad, {}, aFile.size() };
+  if (!isHeaderValid) {
+    return { FrameState::kInvalid, {}, aFile.size() };
   }
   const std::size_t length = WordAt(rest, 4);
   if (rest.size() - kFrameHeaderBytes < length) {
-    return { FrameState::kShort, {}, aFile.size() };
+    return { FrameState::kTruncated, {}, aFile.size() };
   }
   const std::string_view body = rest.substr(kFrameHeaderBytes, length);
-  const bool bodyGood = WordAt(rest, 8) == Checksum(body);
-  return { bodyGood ? FrameState::kGood : FrameState::kBad,
+  const bool isBodyValid = WordAt(rest, 8) == Checksum(body);
+  return { isBodyValid ? FrameState::kValid : FrameState::kInvalid,
            body,
            aOffset + kFrameHeaderBytes + length };
 }
 
 std::optional<std::size_t>
-FindLaterFrame(std::string_view aFile, std::size_t aOffset)
+FindNextValidFrame(std::string_view aFile, std::size_t aOffset)
 {
   std::array<char, sizeof(kMagic)> magic{};
   std::memcpy(magic.data(), &kMagic, sizeof(kMagic));
   const std::string_view pattern{ magic.data(), magic.size() };
   std::size_t at = aFile.find(pattern, aOffset + 1);
   while (at != std::string_view::npos) {
-    if (ReadFrame(aFile, at).m_state == FrameState::kGood) {
+    if (ReadFrame(aFile, at).m_state == FrameState::kValid) {
       return at;
     }
     at = aFile.find(pattern, at + 1);
--- a/src/storage/frame.h
+++ b/src/storage/frame.h
@@ -7,31 +7,31 @@
 
 namespace bamboostile::storage::internal {
 
-/** Magic, length, checksum of the body, checksum of these three. */
+/** Magic number, length, checksum of the body, checksum of these three. */
 constexpr std::size_t kFrameHeaderBytes = 16;
 
-std::string Seal(const std::string& aBody);
+std::string MakeFrame(const std::string& aBody);
 
 enum class FrameState
 {
-  kGood,
-  /** It runs past the end of the file. */
-  kShort,
-  kBad,
+  kValid,
+  /** The frame extends past the end of the file. */
+  kTruncated,
+  kInvalid,
 };
 
-struct FrameAt
+struct FrameReadResult
 {
-  FrameState m_state = FrameState::kBad;
+  FrameState m_state = FrameState::kInvalid;
   std::string_view m_body;
   std::size_t m_end = 0;
 };
 
-FrameAt ReadFrame(std::string_view aFile, std::size_t aOffset);
+FrameReadResult ReadFrame(std::string_view aFile, std::size_t aOffset);
 
-/** Finds a sound frame after aOffset: proof that what lies at aOffset was
- * damaged later, and was not the last write. */
-std::optional<std::size_t> FindLaterFrame(std::string_view aFile,
-                                          std::size_t aOffset);
+/** Finds a valid frame after aOffset. Its presence proves that the data at
+ * aOffset was damaged later and is not an incomplete last write. */
+std::optional<std::size_t> FindNextValidFrame(std::string_view aFile,
+                                              std::size_t aOffset);
 
 } // namespace bamboostile::storage::internal
--- a/src/storage/log_store.cpp
+++ b/src/storage/log_store.cpp
@@ -24,7 +24,7 @@
 constexpr const char* kIdentityFile = "identity.json";
 constexpr const char* kLockFile = "lock";
 constexpr const char* kLogPrefix = "log-";
-constexpr const char* kTemporary = ".new";
+constexpr const char* kTemporarySuffix = ".new";
 constexpr mode_t kFileMode = 0600;
 
 std::optional<std::string>
@@ -44,7 +44,7 @@
 {
   const std::string name = aFile.filename().string();
   const std::string prefix = kLogPrefix;
-  if (name.rfind(prefix, 0) != 0 || name.ends_with(kTemporary)) {
+  if (name.rfind(prefix, 0) != 0 || name.ends_with(kTemporarySuffix)) {
     return std::nullopt;
   }
   try {
@@ -62,9 +62,10 @@
   return (high << 32 | device()) >> 1;
 }
 
-/** Lays one recovered frame over what the frames before it gave. */
+/** Applies one recovered frame to the state recovered from the frames before
+ * it. */
 void
-Merge(consensus::Persist aFrame, consensus::RecoveredState& aState)
+MergeFrame(consensus::Persist aFrame, consensus::RecoveredState& aState)
 {
   if (aFrame.m_hardState) {
     aState.m_hardState = *aFrame.m_hardState;
@@ -91,18 +92,18 @@
     case Error::kNone:
       return "no error";
     case Error::kIo:
-      return "the disk refused";
+      return "I/O error";
     case Error::kLocked:
       return "another process uses this data folder";
     case Error::kDamaged:
       return "damaged data before the last write; restore the folder from a "
              "backup or empty it and have the replica replaced";
     case Error::kIncomplete:
-      return "a part of the data folder is missing";
+      return "part of the data folder is missing";
     case Error::kStopped:
       return "stopped after an earlier failure";
-    case Error::kRefused:
-      return "the disk takes no bytes";
+    case Error::kWriteFailed:
+      return "write failed; it can be retried";
   }
   return "unknown storage error";
 }
@@ -110,7 +111,7 @@
 bool
 MayPass(const Failure& aFailure) noexcept
 {
-  return aFailure.m_error == Error::kRefused;
+  return aFailure.m_error == Error::kWriteFailed;
 }
 
 std::string
@@ -147,11 +148,11 @@
 
 LogStore::~LogStore()
 {
-  if (m_log >= 0) {
-    ::close(m_log);
+  if (m_logFd >= 0) {
+    ::close(m_logFd);
   }
-  if (m_lock >= 0) {
-    ::close(m_lock);
+  if (m_lockFd >= 0) {
+    ::close(m_lockFd);
   }
 }
 
@@ -159,7 +160,7 @@
 LogStore::Fail(Failure& aFailure, const fs::path& aFile)
 {
   aFailure = { Error::kIo, aFile, m_size, std::strerror(errno) };
-  m_stopped = aFailure;
+  m_permanentFailure = aFailure;
   return false;
 }
 
@@ -179,22 +180,22 @@
   std::error_code ignored;
   fs::create_directories(aFolder, ignored);
   std::unique_ptr<LogStore> store(new LogStore(aFolder, std::move(aCalls)));
-  const bool ready = store->Lock(aFailure) && store->FindGeneration(aFailure) &&
-                     store->ReadIdentity(aInstance, aOpened, aFailure) &&
-                     store->ReadLog(aOpened, aFailure) &&
-                     store->OpenLog(aFailure);
-  return ready ? std::move(store) : nullptr;
+  const bool isOpen =
+    store->Lock(aFailure) && store->FindGeneration(aFailure) &&
+    store->ReadIdentity(aInstance, aOpened, aFailure) &&
+    store->ReadLog(aOpened, aFailure) && store->OpenLog(aFailure);
+  return isOpen ? std::move(store) : nullptr;
 }
 
 bool
 LogStore::Lock(Failure& aFailure)
 {
   const fs::path file = m_folder / kLockFile;
-  m_lock = ::open(file.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode);
-  if (m_lock < 0) {
+  m_lockFd = ::open(file.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode);
+  if (m_lockFd < 0) {
     return Fail(aFailure, file);
   }
-  if (::flock(m_lock, LOCK_EX | LOCK_NB) != 0) {
+  if (::flock(m_lockFd, LOCK_EX | LOCK_NB) != 0) {
     aFailure = { Error::kLocked, file, 0, "" };
     return false;
   }
@@ -206,7 +207,7 @@
 {
   std::error_code error;
   for (const auto& item : fs::directory_iterator(m_folder, error)) {
-    if (item.path().string().ends_with(kTemporary)) {
+    if (item.path().string().ends_with(kTemporarySuffix)) {
       std::error_code ignored;
       fs::remove(item.path(), ignored);
       continue;
@@ -232,11 +233,11 @@
     return CreateIdentity(aInstance, aOpened, aFailure);
   }
   const auto json = nlohmann::json::parse(*bytes, nullptr, false);
-  const bool sound = json.is_object() && json.contains("instance") &&
-                     json.contains("incarnation") &&
-                     json["incarnation"].is_number_unsigned();
-  if (!sound) {
-    aFailure = { Error::kDamaged, file, 0, "not an identity" };
+  const bool isValid = json.is_object() && json.contains("instance") &&
+                       json.contains("incarnation") &&
+                       json["incarnation"].is_number_unsigned();
+  if (!isValid) {
+    aFailure = { Error::kDamaged, file, 0, "not a valid identity" };
     return false;
   }
   aOpened.m_self = { InstanceId{ json["instance"].get<std::string>() },
@@ -250,7 +251,7 @@
     return false;
   }
   if (m_generation == 0) {
-    aFailure = { Error::kIncomplete, file, 0, "there is no log beside it" };
+    aFailure = { Error::kIncomplete, file, 0, "the log file is missing" };
     return false;
   }
   return true;
@@ -263,13 +264,13 @@
 {
   const fs::path log = LogFile(std::max<std::uint64_t>(m_generation, 1));
   std::error_code ignored;
-  // A log without the identity that owns it: whose votes are in it is not
-  // known, so nobody may go on from it.
+  // A log exists but its identity is missing. It is unknown whose votes it
+  // contains, so no replica may continue it.
   if (m_generation > 0 && fs::file_size(log, ignored) > 0) {
     aFailure = { Error::kIncomplete,
                  m_folder / kIdentityFile,
                  0,
-                 "a log is there, its identity is not" };
+                 "a log exists but its identity is missing" };
     return false;
   }
   m_generation = std::max<std::uint64_t>(m_generation, 1);
@@ -278,9 +279,10 @@
   const nlohmann::json json{ { "instance", aInstance.Get() },
                              { "incarnation",
                                aOpened.m_self.m_incarnation.Get() } };
-  // The empty log first: an identity on disk then always has a log beside it.
-  return WriteWhole(log, "", aFailure) &&
-         WriteWhole(m_folder / kIdentityFile, json.dump(), aFailure);
+  // The empty log is created first, so that an identity on disk always has a
+  // log.
+  return WriteAtomically(log, "", aFailure) &&
+         WriteAtomically(m_folder / kIdentityFile, json.dump(), aFailure);
 }
 
 bool
@@ -293,30 +295,30 @@
   }
   std::size_t offset = 0;
   while (offset < bytes->size()) {
-    const internal::FrameAt frame = internal::ReadFrame(*bytes, offset);
+    const internal::FrameReadResult frame = internal::ReadFrame(*bytes, offset);
     std::optional<consensus::Persist> persist;
-    if (frame.m_state == internal::FrameState::kGood) {
+    if (frame.m_state == internal::FrameState::kValid) {
       persist = wire::DecodeFrame(frame.m_body);
     }
     if (persist) {
-      Merge(std::move(*persist), aOpened.m_recovered);
+      MergeFrame(std::move(*persist), aOpened.m_recovered);
       offset = frame.m_end;
       continue;
     }
-    // A write is synced before the next one starts, so only the last can be
-    // incomplete. A sound frame behind the bad one shows damage to data that
-    // was acknowledged; cutting there would lose it in silence.
-    const auto later = internal::FindLaterFrame(*bytes, offset);
-    if (later || frame.m_state == internal::FrameState::kGood) {
+    // Each write is synced before the next one starts, so only the last one can
+    // be incomplete. A valid frame after an invalid one means that acknowledged
+    // data is damaged; truncating there would lose it silently.
+    const auto nextValid = internal::FindNextValidFrame(*bytes, offset);
+    if (nextValid || frame.m_state == internal::FrameState::kValid) {
       aFailure = { Error::kDamaged,
                    file,
                    offset,
-                   later ? "a sound record follows at offset " +
-                             std::to_string(*later)
-                         : "the record does not decode" };
+                   nextValid ? "a valid record follows at offset " +
+                                 std::to_string(*nextValid)
+                             : "the record does not decode" };
       return false;
     }
-    aOpened.m_cut = CutTail{ file, offset, bytes->size() - offset };
+    aOpened.m_cut = TruncatedTail{ file, offset, bytes->size() - offset };
     break;
   }
   m_size = offset;
@@ -328,9 +330,9 @@
 LogStore::OpenLog(Failure& aFailure)
 {
   const fs::path file = LogFile(m_generation);
-  m_log = ::open(file.c_str(), O_WRONLY | O_CLOEXEC, kFileMode);
-  const bool placed = m_log >= 0 && m_calls.m_cut(m_log, m_size);
-  if (!placed || m_calls.m_sync(m_log) != 0) {
+  m_logFd = ::open(file.c_str(), O_WRONLY | O_CLOEXEC, kFileMode);
+  const bool isPositioned = m_logFd >= 0 && m_calls.m_truncate(m_logFd, m_size);
+  if (!isPositioned || m_calls.m_sync(m_logFd) != 0) {
     return Fail(aFailure, file);
   }
   for (const auto& item : fs::directory_iterator(m_folder)) {
@@ -346,8 +348,8 @@
 bool
 LogStore::Write(const consensus::Persist& aPersist, Failure& aFailure)
 {
-  if (m_stopped) {
-    aFailure = *m_stopped;
+  if (m_permanentFailure) {
+    aFailure = *m_permanentFailure;
     aFailure.m_error = Error::kStopped;
     return false;
   }
@@ -355,9 +357,9 @@
     m_hardState = *aPersist.m_hardState;
   }
   if (aPersist.m_snapshot) {
-    return Replace(aPersist, aFailure);
+    return ReplaceLog(aPersist, aFailure);
   }
-  return Append(internal::Seal(wire::EncodeFrame(aPersist)), aFailure);
+  return Append(internal::MakeFrame(wire::EncodeFrame(aPersist)), aFailure);
 }
 
 bool
@@ -379,63 +381,63 @@
   return true;
 }
 
-// A full disk may take a part of a frame. Left in place, that part would stand
-// before the next frame, and a restart would find damage in the middle of the
-// log. Nothing of it was synced, so cutting it off restores what was there.
+// A full disk may accept a part of a frame. If that part stayed, the next frame
+// would follow it, and a restart would find damage in the middle of the log.
+// Nothing of it was synced, so truncating it restores the previous state.
 bool
-LogStore::TakeBack(Failure& aFailure)
+LogStore::RollbackAppend(Failure& aFailure)
 {
   const fs::path file = LogFile(m_generation);
-  aFailure = { Error::kRefused, file, m_size, std::strerror(errno) };
-  return m_calls.m_cut(m_log, m_size) || Fail(aFailure, file);
+  aFailure = { Error::kWriteFailed, file, m_size, std::strerror(errno) };
+  return m_calls.m_truncate(m_logFd, m_size) || Fail(aFailure, file);
 }
 
 bool
 LogStore::Append(const std::string& aFrame, Failure& aFailure)
 {
-  if (!WriteAll(m_log, aFrame)) {
-    TakeBack(aFailure);
+  if (!WriteAll(m_logFd, aFrame)) {
+    RollbackAppend(aFailure);
     return false;
   }
-  if (m_calls.m_sync(m_log) != 0) {
+  if (m_calls.m_sync(m_logFd) != 0) {
     return Fail(aFailure, LogFile(m_generation));
   }
   m_size += aFrame.size();
   return true;
 }
 
-// The new file carries vote, snapshot and all later entries; until its rename
-// is synced the old one stays complete.
+// The new file contains the vote, the snapshot and all later entries. The old
+// file stays complete until the rename of the new one is synced.
 bool
-LogStore::Replace(const consensus::Persist& aPersist, Failure& aFailure)
+LogStore::ReplaceLog(const consensus::Persist& aPersist, Failure& aFailure)
 {
-  consensus::Persist whole = aPersist;
-  whole.m_hardState = m_hardState;
-  const std::string frame = internal::Seal(wire::EncodeFrame(whole));
-  const fs::path next = LogFile(m_generation + 1);
-  if (!WriteWhole(next, frame, aFailure)) {
+  consensus::Persist record = aPersist;
+  record.m_hardState = m_hardState;
+  const std::string frame = internal::MakeFrame(wire::EncodeFrame(record));
+  const fs::path nextFile = LogFile(m_generation + 1);
+  if (!WriteAtomically(nextFile, frame, aFailure)) {
     return false;
   }
-  ::close(m_log);
+  ::close(m_logFd);
   ++m_generation;
   m_size = frame.size();
   return OpenLog(aFailure);
 }
 
 bool
-LogStore::WriteWhole(const fs::path& aFile,
-                     const std::string& aBytes,
-                     Failure& aFailure)
+LogStore::WriteAtomically(const fs::path& aFile,
+                          const std::string& aBytes,
+                          Failure& aFailure)
 {
-  const fs::path temporary = aFile.string() + kTemporary;
+  const fs::path temporary = aFile.string() + kTemporarySuffix;
   const int fd = ::open(
     temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode);
-  // Up to the rename nothing refers to this file, and the next try writes it
-  // anew from its first byte; so a refusal here, of the sync too, may pass.
+  // Nothing refers to this file before the rename, and a retry writes it from
+  // the first byte; so a failure here, even of the sync, is retryable.
   const bool isWritten =
     fd >= 0 && WriteAll(fd, aBytes) && m_calls.m_sync(fd) == 0;
   if (!isWritten) {
-    aFailure = { Error::kRefused, temporary, 0, std::strerror(errno) };
+    aFailure = { Error::kWriteFailed, temporary, 0, std::strerror(errno) };
   }
   if (fd >= 0) {
     ::close(fd);
--- a/tests/unit/storage/log_store_test.cpp
+++ b/tests/unit/storage/log_store_test.cpp
@@ -21,7 +21,7 @@
 }
 
 consensus::Persist
-Write(std::vector<consensus::LogEntry> aEntries)
+MakePersist(std::vector<consensus::LogEntry> aEntries)
 {
   return { 1, std::nullopt, std::nullopt, std::move(aEntries) };
 }
@@ -54,8 +54,8 @@
   {
     auto store = Open();
     for (std::uint64_t i = 1; i <= 3; ++i) {
-      CHECK(store->Write(Write({ Entry(i, "entry " + std::to_string(i)) }),
-                         m_failure));
+      CHECK(store->Write(
+        MakePersist({ Entry(i, "entry " + std::to_string(i)) }), m_failure));
     }
   }
 
@@ -90,7 +90,7 @@
   CHECK(m_opened.m_self != first);
 }
 
-TEST(LogStore, Written_Reopened_IsAllThere)
+TEST(LogStore, Entries_Reopened_AreAllRecovered)
 {
   WriteThree();
   {
@@ -110,7 +110,7 @@
   WriteThree();
   {
     auto store = Open();
-    CHECK(store->Write(Write({ Entry(2, "other") }), m_failure));
+    CHECK(store->Write(MakePersist({ Entry(2, "other") }), m_failure));
   }
   Open();
   const auto& entries = m_opened.m_recovered.m_entries;
@@ -119,43 +119,43 @@
                std::get<consensus::CommandBytes>(entries[1].m_payload).m_bytes);
 }
 
-// The power fails in the middle of a write: its record is incomplete, at any
-// length. It was never acknowledged, so it is cut off and said so.
-TEST(LogStore, LastWrite_TornAtAnyByte_IsCutAndReported)
+// The power fails in the middle of a write, which leaves an incomplete record
+// of any length. It was never acknowledged, so it is truncated and reported.
+TEST(LogStore, LastWrite_TornAtAnyByte_IsTruncatedAndReported)
 {
   WriteThree();
-  const auto whole = fs::file_size(LogFile());
+  const auto sizeBefore = fs::file_size(LogFile());
   auto store = Open();
-  CHECK(store->Write(Write({ Entry(4, "torn") }), m_failure));
+  CHECK(store->Write(MakePersist({ Entry(4, "torn") }), m_failure));
   store.reset();
   const auto size = fs::file_size(LogFile());
   const fs::path copy = m_folder / "copy";
   fs::copy_file(LogFile(), copy);
-  for (auto length = whole + 1; length < size; ++length) {
+  for (auto length = sizeBefore + 1; length < size; ++length) {
     fs::copy_file(copy, LogFile(), fs::copy_options::overwrite_existing);
     fs::resize_file(LogFile(), length);
     CHECK(Open() != nullptr);
     LONGS_EQUAL(3, m_opened.m_recovered.m_entries.size());
     CHECK(m_opened.m_cut.has_value());
-    LONGS_EQUAL(whole, m_opened.m_cut->m_offset);
+    LONGS_EQUAL(sizeBefore, m_opened.m_cut->m_offset);
   }
 }
 
-// A record in the middle is damaged. Behind it lie acknowledged entries, so
-// cutting there would lose them in silence: the folder is refused.
+// A record in the middle is damaged. Acknowledged entries follow it, so
+// truncating there would lose them silently: the folder must be refused.
 TEST(LogStore, MiddleRecord_DamagedAnywhere_IsRefusedWithFileAndOffset)
 {
   WriteThree();
   const auto size = fs::file_size(LogFile());
   const fs::path copy = m_folder / "copy";
   fs::copy_file(LogFile(), copy);
-  const auto third = size / 3;
-  for (std::uint64_t at = third; at < 2 * third; ++at) {
+  const auto recordSize = size / 3;
+  for (std::uint64_t at = recordSize; at < 2 * recordSize; ++at) {
     fs::copy_file(copy, LogFile(), fs::copy_options::overwrite_existing);
     Overwrite(at);
     CHECK(Open() == nullptr);
     CHECK(m_failure.m_error == Error::kDamaged);
-    LONGS_EQUAL(third, m_failure.m_offset);
+    LONGS_EQUAL(recordSize, m_failure.m_offset);
     CHECK(ToText(m_failure).find("log-1") != std::string::npos);
   }
 }
@@ -168,11 +168,11 @@
     consensus::Persist vote;
     vote.m_hardState = consensus::HardState{ Term{ 9 }, std::nullopt };
     CHECK(store->Write(vote, m_failure));
-    consensus::Persist compact = Write({ Entry(3, "entry 3") });
+    consensus::Persist compact = MakePersist({ Entry(3, "entry 3") });
     compact.m_snapshot =
       consensus::Snapshot{ Index{ 2 }, Term{ 1 }, {}, "state" };
     CHECK(store->Write(compact, m_failure));
-    CHECK(store->Write(Write({ Entry(4, "entry 4") }), m_failure));
+    CHECK(store->Write(MakePersist({ Entry(4, "entry 4") }), m_failure));
   }
   CHECK_FALSE(fs::exists(LogFile()));
   Open();
@@ -181,25 +181,25 @@
   LONGS_EQUAL(9, m_opened.m_recovered.m_hardState.m_term.Get());
 }
 
-// The sync fails once. The kernel may drop the pages and report success for
-// the next sync, so nothing may be written, or claimed, after it.
+// A sync fails once. The kernel may drop the pages and report success for the
+// next sync, so nothing may be written or acknowledged afterwards.
 TEST(LogStore, Sync_FailsOnce_EveryLaterWriteIsRefused)
 {
-  int left = 100;
+  int syncsUntilFailure = 100;
   FileCalls calls = FileCalls::Posix();
   calls.m_sync = [&](int aFd) {
-    if (--left == 0) {
+    if (--syncsUntilFailure == 0) {
       errno = EIO;
       return -1;
     }
     return ::fsync(aFd);
   };
   auto store = Open(calls);
-  left = 2;
-  CHECK(store->Write(Write({ Entry(1, "a") }), m_failure));
-  CHECK_FALSE(store->Write(Write({ Entry(2, "b") }), m_failure));
+  syncsUntilFailure = 2;
+  CHECK(store->Write(MakePersist({ Entry(1, "a") }), m_failure));
+  CHECK_FALSE(store->Write(MakePersist({ Entry(2, "b") }), m_failure));
   CHECK(m_failure.m_error == Error::kIo);
-  CHECK_FALSE(store->Write(Write({ Entry(2, "b") }), m_failure));
+  CHECK_FALSE(store->Write(MakePersist({ Entry(2, "b") }), m_failure));
   CHECK(m_failure.m_error == Error::kStopped);
 }
 
@@ -215,48 +215,48 @@
     return ::write(aFd, aBytes, aCount);
   };
   auto store = Open(calls);
-  CHECK(store->Write(Write({ Entry(1, "a") }), m_failure));
+  CHECK(store->Write(MakePersist({ Entry(1, "a") }), m_failure));
   full = true;
-  CHECK_FALSE(store->Write(Write({ Entry(2, "b") }), m_failure));
+  CHECK_FALSE(store->Write(MakePersist({ Entry(2, "b") }), m_failure));
   store.reset();
   CHECK(Open() != nullptr);
   LONGS_EQUAL(1, m_opened.m_recovered.m_entries.size());
 }
 
-// The disk fills up inside a record: a part of it is written. The process lives
-// on, tries again when there is room, and goes on. A restart later finds all
-// records whole and nothing of the part between them.
-TEST(LogStore, Write_PartlyTakenByFullDisk_IsTakenBackAndTriedAgain)
+// The disk becomes full within a record, and a part of it is written. The
+// process keeps running and retries once there is free space. A later restart
+// must find all records whole and nothing of the part between them.
+TEST(LogStore, Write_PartlyAcceptedByFullDisk_IsRolledBackAndRetried)
 {
-  std::size_t room = 1 << 20;
+  std::size_t freeBytes = 1 << 20;
   FileCalls calls = FileCalls::Posix();
   calls.m_write = [&](int aFd, const void* aBytes, std::size_t aCount) {
-    if (room == 0) {
+    if (freeBytes == 0) {
       errno = ENOSPC;
       return static_cast<ssize_t>(-1);
     }
-    const ssize_t count = ::write(aFd, aBytes, std::min(room, aCount));
-    room -= static_cast<std::size_t>(count);
+    const ssize_t count = ::write(aFd, aBytes, std::min(freeBytes, aCount));
+    freeBytes -= static_cast<std::size_t>(count);
     return count;
   };
   auto store = Open(calls);
-  CHECK(store->Write(Write({ Entry(1, "a") }), m_failure));
-  room = 5;
-  CHECK_FALSE(store->Write(Write({ Entry(2, "b") }), m_failure));
+  CHECK(store->Write(MakePersist({ Entry(1, "a") }), m_failure));
+  freeBytes = 5;
+  CHECK_FALSE(store->Write(MakePersist({ Entry(2, "b") }), m_failure));
   CHECK(MayPass(m_failure));
-  CHECK_FALSE(store->Write(Write({ Entry(2, "b") }), m_failure));
-  room = 1 << 20;
-  CHECK(store->Write(Write({ Entry(2, "b") }), m_failure));
-  CHECK(store->Write(Write({ Entry(3, "c") }), m_failure));
+  CHECK_FALSE(store->Write(MakePersist({ Entry(2, "b") }), m_failure));
+  freeBytes = 1 << 20;
+  CHECK(store->Write(MakePersist({ Entry(2, "b") }), m_failure));
+  CHECK(store->Write(MakePersist({ Entry(3, "c") }), m_failure));
   store.reset();
   CHECK(Open() != nullptr);
   CHECK_FALSE(m_opened.m_cut.has_value());
   LONGS_EQUAL(3, m_opened.m_recovered.m_entries.size());
 }
 
-// A snapshot finds no room beside the log. The log stays whole and in use, and
-// the snapshot goes in later.
-TEST(LogStore, Snapshot_WithoutRoom_LeavesTheLogAndIsTakenLater)
+// There is no space for a snapshot next to the log. The log must stay whole and
+// in use, and the snapshot must succeed later.
+TEST(LogStore, Snapshot_WithoutFreeSpace_KeepsTheLogAndSucceedsLater)
 {
   bool isFull = false;
   FileCalls calls = FileCalls::Posix();
@@ -268,7 +268,7 @@
     return ::write(aFd, aBytes, aCount);
   };
   auto store = Open(calls);
-  CHECK(store->Write(Write({ Entry(1, "a"), Entry(2, "b") }), m_failure));
+  CHECK(store->Write(MakePersist({ Entry(1, "a"), Entry(2, "b") }), m_failure));
   consensus::Persist snapshot;
   snapshot.m_snapshot = consensus::Snapshot{ Index{ 1 }, Term{ 1 }, {}, "s" };
   snapshot.m_entries = { Entry(2, "b") };
@@ -276,7 +276,7 @@
   CHECK_FALSE(store->Write(snapshot, m_failure));
   CHECK(MayPass(m_failure));
   isFull = false;
-  CHECK(store->Write(Write({ Entry(3, "c") }), m_failure));
+  CHECK(store->Write(MakePersist({ Entry(3, "c") }), m_failure));
   snapshot.m_entries.push_back(Entry(3, "c"));
   CHECK(store->Write(snapshot, m_failure));
   store.reset();
