--- a/include/bamboostile/rpc/channel.h
+++ b/include/bamboostile/rpc/channel.h
@@ -14,10 +14,10 @@
 
 /**
  * @brief A connection to one control replica that is made on first use and
- * made anew after Drop().
+ * again after Disconnect().
  *
- * Users call Drop() when a call failed or took too long: a connection across
- * a silent cut looks alive for minutes otherwise.
+ * Users call Disconnect() when a call failed or timed out: otherwise a
+ * connection whose packets are lost silently looks alive for minutes.
  */
 class Channel : public kj::Refcounted
 {
@@ -25,8 +25,9 @@
   Channel(kj::Network& aNetwork, std::string aAddress);
 
   schema::Control::Client Get();
-  /** Of the connection that Get() gave last: becomes true once it is made.
-   * What was asked on one that never was has not left this process. */
+  /** State of the connection that Get() returned last: becomes true once it is
+   * established. Requests on a connection that was never established have not
+   * left this process. */
   std::shared_ptr<const bool> IsConnected() const { return m_isConnected; }
   void Drop();
   const std::string& Address() const { return m_address; }
--- a/include/bamboostile/rpc/mailbox.h
+++ b/include/bamboostile/rpc/mailbox.h
@@ -9,13 +9,13 @@
 namespace bamboostile::rpc {
 
 /**
- * @brief Hands values from any thread to the one KJ event loop that owns it.
+ * @brief Passes values from any thread to the one KJ event loop that owns it.
  */
 template<typename T>
 class Mailbox
 {
 public:
-  /** From any thread. */
+  /** May be called from any thread. */
   void Put(T aValue)
   {
     const std::lock_guard lock(m_mutex);
@@ -26,7 +26,8 @@
     }
   }
 
-  /** On the loop's thread, one call at a time: all values since the last. */
+  /** Returns all values since the last call. Must be called on the loop's
+   * thread, one call at a time. */
   kj::Promise<std::vector<T>> Take()
   {
     const std::lock_guard lock(m_mutex);
--- a/src/rpc/channel.cpp
+++ b/src/rpc/channel.cpp
@@ -44,7 +44,8 @@
   ++m_generation;
   m_control = nullptr;
   KJ_IF_MAYBE (link, m_link) {
-    // Not now: the caller may be inside a callback of this very connection.
+    // The connection is destroyed later, since the caller may be inside one of
+    // its callbacks.
     kj::evalLater([dropped = kj::mv(*link)]() {}).detach([](auto&&) {});
     m_link = nullptr;
   }
