--- a/include/bamboostile/placement/listed_instance.h
+++ b/include/bamboostile/placement/listed_instance.h
@@ -14,7 +14,7 @@
   kMaintenance,
   /** Crashed or off. */
   kDown,
-  /** Listed with a state that is not known here. */
+  /** Listed with a state that this version does not know. */
   kUnknown,
 };
 
@@ -26,7 +26,8 @@
   InstanceState m_state = InstanceState::kUnknown;
 };
 
-/** The platform's list, each entry as it was after the list was asked for. */
+/** The platform's list. Each entry shows a state no older than the request for
+ * the list. */
 struct InstanceList
 {
   TimePoint m_askedAt;
--- a/include/bamboostile/placement/load_shedder.h
+++ b/include/bamboostile/placement/load_shedder.h
@@ -4,13 +4,13 @@
 
 namespace bamboostile::placement {
 
-/** What a full leader leaves undone. Each level includes those before it. */
+/** What an overloaded leader skips. Each level includes those before it. */
 enum class Shedding
 {
   kNothing,
-  /** No new orders for instances; workers report half as often. */
+  /** No new orders for instances, and workers report half as often. */
   kInstances,
-  /** Half as much time for passes of placing; workers report a quarter as
+  /** Placement passes get half as much time, and workers report a quarter as
    * often. */
   kPlacing,
 };
@@ -18,34 +18,35 @@
 const char* Describe(Shedding aLevel) noexcept;
 
 /**
- * @brief Decides what a leader leaves undone so that it goes on renewing leases
- * in time.
+ * @brief Decides what an overloaded leader skips so that it keeps renewing
+ * leases in time.
  *
- * Goes by how long reports wait for the event loop: all else that a leader does
- * can wait, a renewal that comes after a second ends what its worker runs.
+ * The measure is how long reports wait for the event loop. Everything else
+ * that a leader does can wait, but a renewal that is a second late ends what
+ * its worker runs.
  */
 class LoadShedder
 {
 public:
-  /** A report has waited so long for its turn. */
+  /** Records how long a report has waited for the event loop. */
   void OnWaited(Duration aWaited, TimePoint aNow);
   Shedding Level(TimePoint aNow) const;
 
 private:
-  /** The longest wait of a span that began then. */
-  struct Span
+  /** The longest wait in a window that began at m_since. */
+  struct Window
   {
     TimePoint m_since;
-    Duration m_longest{};
+    Duration m_maxWait{};
   };
 
-  void Roll(TimePoint aNow);
+  void AdvanceWindow(TimePoint aNow);
 
-  Span m_current;
-  Span m_before;
+  Window m_current;
+  Window m_previous;
 };
 
-/** Workers report so many times less often. */
+/** Factor by which the report intervals of workers grow. */
 int ReportStretch(Shedding aLevel) noexcept;
 
 } // namespace bamboostile::placement
--- a/include/bamboostile/placement/order_record.h
+++ b/include/bamboostile/placement/order_record.h
@@ -11,37 +11,41 @@
 namespace bamboostile::placement {
 
 /**
- * @brief Which instances have had an order lately, from this leader or an
- * earlier one, so that no two leaders take turns with an instance.
+ * @brief Instances that recently had an order from this or an earlier leader.
+ * It keeps two leaders from giving conflicting orders for an instance in turn.
  *
- * The state has each order before the platform is asked, and forgets it some
- * time after its answer. What is not on record when a leader begins has had no
- * order of an earlier one for that time, and may be ordered at once.
+ * The state records each order before the platform is called and removes it
+ * some time after the platform's answer. An instance without a record when a
+ * leader begins has had no order from an earlier leader for that time and may
+ * be ordered at once.
  */
 class OrderRecord
 {
 public:
-  /** aBetween: least time between orders of two leaders for one instance. */
-  explicit OrderRecord(Duration aBetween)
-    : m_between(aBetween)
+  /** aMinInterval: minimum time between orders of two leaders for one
+   * instance. */
+  explicit OrderRecord(Duration aMinInterval)
+    : m_minInterval(aMinInterval)
   {
   }
 
-  /** What the state has on record as this leader begins. */
+  /** Takes over the instances that the state has on record as this leader
+   * begins. */
   void Inherit(const std::set<InstanceId>& aInstances, TimePoint aNow);
   void OnOrdered(const InstanceId& aInstance);
   void OnAnswered(const InstanceId& aInstance, TimePoint aNow);
 
-  /** An order of an earlier leader may still be too close. */
+  /** The instance may have had an order from an earlier leader too recently. */
   bool IsInherited(const InstanceId& aInstance) const;
-  /** Those that the state may forget; each is named once. */
+  /** Returns instances whose records the state may remove, each only once. */
   std::vector<InstanceId> TakeSettled(TimePoint aNow);
 
 private:
-  Duration m_between;
+  Duration m_minInterval;
   std::set<InstanceId> m_inherited;
   TimePoint m_inheritedAt;
-  /** Orders of this leader; unset while one waits for its answer. */
+  /** Answer times of this leader's orders; unset while an order waits for its
+   * answer. */
   std::map<InstanceId, std::optional<TimePoint>> m_answeredAt;
 };
 
--- a/src/placement/load_shedder.cpp
+++ b/src/placement/load_shedder.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-/** A wait counts for one to two of these: long enough for reports that were
- * put off to stay away, short beside a peak of some seconds. */
-constexpr Duration kSpan = Millis{ 500 };
-/** Above what reports wait in a peak that the leader keeps up with, and well
- * before their answers come too late for the workers. */
-constexpr Duration kFull = Millis{ 150 };
-constexpr Duration kVeryFull = Millis{ 300 };
+/** A wait counts for one to two windows. That is long enough for reports that
+ * were asked for later to stay away, and short compared with a peak of some
+ * seconds. */
+constexpr Duration kWindow = Millis{ 500 };
+/** Waits above those in a peak that the leader can handle, and well below
+ * those at which answers reach workers too late. */
+constexpr Duration kHighWait = Millis{ 150 };
+constexpr Duration kVeryHighWait = Millis{ 300 };
 
 } // namespace
 
@@ -31,34 +32,36 @@
 }
 
 void
-LoadShedder::Roll(TimePoint aNow)
+LoadShedder::AdvanceWindow(TimePoint aNow)
 {
-  if (aNow < m_current.m_since + kSpan) {
+  if (aNow < m_current.m_since + kWindow) {
     return;
   }
-  const bool isNext = aNow < m_current.m_since + 2 * kSpan;
-  m_before = isNext ? m_current : Span{ aNow, Duration{} };
+  const bool isAdjacent = aNow < m_current.m_since + 2 * kWindow;
+  m_previous = isAdjacent ? m_current : Window{ aNow, Duration{} };
   m_current = { aNow, Duration{} };
 }
 
 void
 LoadShedder::OnWaited(Duration aWaited, TimePoint aNow)
 {
-  Roll(aNow);
-  m_current.m_longest = std::max(m_current.m_longest, aWaited);
+  AdvanceWindow(aNow);
+  m_current.m_maxWait = std::max(m_current.m_maxWait, aWaited);
 }
 
 Shedding
 LoadShedder::Level(TimePoint aNow) const
 {
-  const auto longestOf = [&](const Span& aSpan) {
-    return aNow < aSpan.m_since + 2 * kSpan ? aSpan.m_longest : Duration{};
+  const auto maxWaitOf = [&](const Window& aWindow) {
+    return aNow < aWindow.m_since + 2 * kWindow ? aWindow.m_maxWait
+                                                : Duration{};
   };
-  const Duration longest = std::max(longestOf(m_current), longestOf(m_before));
-  if (longest >= kVeryFull) {
+  const Duration maxWait =
+    std::max(maxWaitOf(m_current), maxWaitOf(m_previous));
+  if (maxWait >= kVeryHighWait) {
     return Shedding::kPlacing;
   }
-  return longest >= kFull ? Shedding::kInstances : Shedding::kNothing;
+  return maxWait >= kHighWait ? Shedding::kInstances : Shedding::kNothing;
 }
 
 int
--- a/src/placement/order_record.cpp
+++ b/src/placement/order_record.cpp
@@ -30,24 +30,24 @@
 std::vector<InstanceId>
 OrderRecord::TakeSettled(TimePoint aNow)
 {
-  std::vector<InstanceId> settled;
-  if (aNow >= m_inheritedAt + m_between) {
+  std::vector<InstanceId> expired;
+  if (aNow >= m_inheritedAt + m_minInterval) {
     for (const InstanceId& instance : m_inherited) {
       if (!m_answeredAt.contains(instance)) {
-        settled.push_back(instance);
+        expired.push_back(instance);
       }
     }
     m_inherited.clear();
   }
   std::erase_if(m_answeredAt, [&](const auto& aEntry) {
     const auto& [instance, answeredAt] = aEntry;
-    const bool isSettled = answeredAt && aNow >= *answeredAt + m_between;
-    if (isSettled) {
-      settled.push_back(instance);
+    const bool isExpired = answeredAt && aNow >= *answeredAt + m_minInterval;
+    if (isExpired) {
+      expired.push_back(instance);
     }
-    return isSettled;
+    return isExpired;
   });
-  return settled;
+  return expired;
 }
 
 } // namespace bamboostile::placement
--- a/tests/unit/placement/load_shedder_test.cpp
+++ b/tests/unit/placement/load_shedder_test.cpp
@@ -23,16 +23,17 @@
   }
 };
 
-TEST(LoadShedder, ReportsThatWaitAsInAnyPeak_NothingIsLeftUndone)
+TEST(LoadShedder, ReportsWaitAsInAnyPeak_NothingIsSkipped)
 {
   Wait(130, 1000);
   CHECK(Sheds(Shedding::kNothing, 1000));
 }
 
-// The operator sees leases run out under a leader that is well: it is full, and
-// moves and waves take the time that renewals need. Orders go first, then
-// passes of placing, and each wait counts for long enough to matter.
-TEST(LoadShedder, ReportsThatWaitLonger_OrdersAreShedBeforePasses)
+// Guards against leases that run out under a healthy but overloaded leader,
+// whose moves and waves take the time that renewals need. Orders are skipped
+// first, then placement passes, and each wait counts for long enough to have
+// an effect.
+TEST(LoadShedder, ReportsWaitLonger_OrdersAreSkippedBeforePasses)
 {
   Wait(160, 1000);
   CHECK(Sheds(Shedding::kInstances, 1000));
@@ -42,7 +43,7 @@
   CHECK(Sheds(Shedding::kPlacing, 1600));
 }
 
-TEST(LoadShedder, ReportsServedInTimeAgain_AllIsDoneAgain)
+TEST(LoadShedder, ReportsServedInTimeAgain_NothingIsSkipped)
 {
   Wait(320, 1000);
   Wait(10, 1600);
@@ -50,7 +51,7 @@
   CHECK(Sheds(Shedding::kNothing, 2200));
 }
 
-TEST(LoadShedder, NoReportForLong_AllIsDoneAgain)
+TEST(LoadShedder, NoReportForLong_NothingIsSkipped)
 {
   Wait(320, 1000);
   CHECK(Sheds(Shedding::kNothing, 2500));
--- a/tests/unit/placement/order_record_test.cpp
+++ b/tests/unit/placement/order_record_test.cpp
@@ -6,7 +6,7 @@
 using namespace bamboostile;
 using namespace job_fixtures;
 
-/** Leader since 10 s; orders of two leaders are to be 3 s apart. */
+/** The leader begins at 10 s; orders of two leaders must be 3 s apart. */
 TEST_GROUP(OrderRecord)
 {
   placement::OrderRecord m_record{ Millis{ 3000 } };
@@ -18,39 +18,39 @@
     m_record.Inherit({ m_one }, At(10'000));
   }
 
-  std::size_t SettledAt(std::int64_t aMs)
+  std::size_t CountExpiredAt(std::int64_t aMs)
   {
     return m_record.TakeSettled(At(aMs)).size();
   }
 };
 
-TEST(OrderRecord, Inherited_IsSettledAfterTheGap_Once)
+TEST(OrderRecord, Inherited_ExpiresOnceAfterTheInterval)
 {
   CHECK(m_record.IsInherited(m_one));
   CHECK_FALSE(m_record.IsInherited(m_two));
-  LONGS_EQUAL(0, SettledAt(12'900));
-  LONGS_EQUAL(1, SettledAt(13'000));
-  LONGS_EQUAL(0, SettledAt(13'100));
+  LONGS_EQUAL(0, CountExpiredAt(12'900));
+  LONGS_EQUAL(1, CountExpiredAt(13'000));
+  LONGS_EQUAL(0, CountExpiredAt(13'100));
   CHECK_FALSE(m_record.IsInherited(m_one));
 }
 
-// The platform is slow: an order may be obeyed until its answer has come, so
-// the gap counts from there.
+// A slow platform may execute an order until its answer has arrived, so the
+// interval is measured from the answer.
 TEST(OrderRecord, OrderNotAnswered_StaysOnRecord)
 {
   m_record.OnOrdered(m_two);
-  LONGS_EQUAL(1, SettledAt(20'000));
+  LONGS_EQUAL(1, CountExpiredAt(20'000));
   m_record.OnAnswered(m_two, At(20'000));
-  LONGS_EQUAL(0, SettledAt(22'900));
-  LONGS_EQUAL(1, SettledAt(23'000));
+  LONGS_EQUAL(0, CountExpiredAt(22'900));
+  LONGS_EQUAL(1, CountExpiredAt(23'000));
 }
 
-// Forgotten with the rest of what was inherited, it would be missing when the
-// next leader looks.
+// Guards against a record that is removed with the other inherited ones and is
+// then missing when the next leader begins.
 TEST(OrderRecord, InheritedAndOrderedAgain_StaysUntilTheLaterOrderIsOld)
 {
   m_record.OnOrdered(m_one);
   m_record.OnAnswered(m_one, At(12'000));
-  LONGS_EQUAL(0, SettledAt(13'000));
-  LONGS_EQUAL(1, SettledAt(15'000));
+  LONGS_EQUAL(0, CountExpiredAt(13'000));
+  LONGS_EQUAL(1, CountExpiredAt(15'000));
 }
