--- a/include/bamboostile/placement/ended_lives.h
+++ b/include/bamboostile/placement/ended_lives.h
@@ -8,46 +8,47 @@
 namespace bamboostile::placement {
 
 /**
- * @brief The lives of workers that ended last, so that their late reports are
- * known for what they are.
+ * @brief The worker incarnations that ended last, so that their delayed
+ * reports are recognized.
  *
- * Bounded: instances that are moved and restarted for months would fill a
- * leader's memory.
+ * The number is bounded: without a bound, instances that are moved and
+ * restarted for months would fill the leader's memory.
  */
-class EndedLives
+class EndedIncarnations
 {
 public:
-  void Add(const WorkerLife& aLife)
+  void Add(const WorkerLife& aIncarnation)
   {
-    if (!m_lives.insert(aLife).second) {
+    if (!m_incarnations.insert(aIncarnation).second) {
       return;
     }
-    m_inOrder.push_back(aLife);
-    if (m_inOrder.size() > kMost) {
-      m_lives.erase(m_inOrder.front());
+    m_inOrder.push_back(aIncarnation);
+    if (m_inOrder.size() > kMaxIncarnations) {
+      m_incarnations.erase(m_inOrder.front());
       m_inOrder.pop_front();
     }
   }
 
-  void Remove(const WorkerLife& aLife)
+  void Remove(const WorkerLife& aIncarnation)
   {
-    if (m_lives.erase(aLife) > 0) {
-      std::erase(m_inOrder, aLife);
+    if (m_incarnations.erase(aIncarnation) > 0) {
+      std::erase(m_inOrder, aIncarnation);
     }
   }
 
-  bool Contains(const WorkerLife& aLife) const
+  bool Contains(const WorkerLife& aIncarnation) const
   {
-    return m_lives.contains(aLife);
+    return m_incarnations.contains(aIncarnation);
   }
 
-  const std::set<WorkerLife>& All() const { return m_lives; }
+  const std::set<WorkerLife>& All() const { return m_incarnations; }
 
-  /** Far more than can end while a report is on its way. */
-  static constexpr std::size_t kMost = 20'000;
+  /** Maximum number of incarnations; far fewer can end while a report is under
+   * way. */
+  static constexpr std::size_t kMaxIncarnations = 20'000;
 
 private:
-  std::set<WorkerLife> m_lives;
+  std::set<WorkerLife> m_incarnations;
   std::deque<WorkerLife> m_inOrder;
 };
 
--- a/include/bamboostile/placement/losses.h
+++ b/include/bamboostile/placement/losses.h
@@ -6,54 +6,57 @@
 
 namespace bamboostile::placement {
 
-/** What shows that a worker is lost. */
+/** The event that shows that a worker is lost. */
 enum class LossCause
 {
-  /** A later life of its instance reports. */
-  kLaterLife,
+  /** A later incarnation on its instance reports. */
+  kLaterIncarnation,
   /** Its lease ended without a report. */
   kLeaseEnded,
-  /** An earlier leader placed runs there; this one has never heard of it. */
-  kNeverHeard,
+  /** An earlier leader placed runs on it, and it has never reported to this
+   * leader. */
+  kNeverReported,
 };
 
 const char* Describe(LossCause aCause) noexcept;
 
-/** A worker that was lost with runs on it, for no reason the leader knows. */
+/** A worker that was lost with runs on it, for a reason that the leader does
+ * not know. */
 struct LostWorker
 {
   WorkerLife m_worker;
-  /** Empty where the worker was never heard. */
+  /** Empty if the worker never reported. */
   InstanceId m_instance;
   LossCause m_cause = LossCause::kLeaseEnded;
-  /** Since its last report. */
+  /** Time since its last report. */
   Duration m_silentFor{};
   std::size_t m_runs = 0;
-  /** Of the runs: sent to the worker, and shown by no report. */
+  /** Number of those runs whose start was sent and is unconfirmed. */
   std::size_t m_starting = 0;
-  /** Other workers that fell silent at about the same moment, with no suspect
-   * on trial there. */
+  /** Number of other workers whose last report was at about the same time,
+   * without an isolated run on them. */
   std::size_t m_lostBeside = 0;
 };
 
-/** Workers that went silent within this of each other may share a cause: even
- * an idle one reports more often. */
-constexpr Duration kLostTogether = Millis{ 1000 };
+/** Workers whose last reports are at most this far apart may have been lost
+ * for the same cause. Even an idle worker reports more often than this. */
+constexpr Duration kConcurrentLossWindow = Millis{ 1000 };
 
 /**
- * @brief When workers that are forgotten by now fell silent.
+ * @brief Last report times of lost workers that were already removed from the
+ * worker table.
  *
- * Losses at the same moment may have one cause: a rack, a zone, a link.
+ * Concurrent losses may have one cause: a rack, a zone or a link.
  */
 class RecentLosses
 {
 public:
-  void Add(TimePoint aHeardAt);
-  /** Those within kLostTogether of a moment. */
+  void Add(TimePoint aLastReportAt);
+  /** Number of losses within kConcurrentLossWindow of a moment. */
   std::size_t CountAround(TimePoint aMoment) const;
 
 private:
-  std::vector<TimePoint> m_heardAt;
+  std::vector<TimePoint> m_lastReportsAt;
 };
 
 } // namespace bamboostile::placement
--- a/src/placement/losses.cpp
+++ b/src/placement/losses.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/** Longer than it takes to notice any loss. */
-constexpr Duration kKeepLosses = std::chrono::seconds{ 15 };
+/** How long a loss is kept. Noticing any loss takes less time. */
+constexpr Duration kLossRetention = std::chrono::seconds{ 15 };
 
 } // namespace
 
@@ -15,30 +15,32 @@
 Describe(LossCause aCause) noexcept
 {
   switch (aCause) {
-    case LossCause::kLaterLife:
+    case LossCause::kLaterIncarnation:
       return "a later life of its instance reports";
     case LossCause::kLeaseEnded:
       return "its lease ended";
-    case LossCause::kNeverHeard:
+    case LossCause::kNeverReported:
       return "this leader never heard of it";
   }
   return "unknown";
 }
 
 void
-RecentLosses::Add(TimePoint aHeardAt)
+RecentLosses::Add(TimePoint aLastReportAt)
 {
-  std::erase_if(m_heardAt,
-                [&](TimePoint aOne) { return aOne + kKeepLosses < aHeardAt; });
-  m_heardAt.push_back(aHeardAt);
+  std::erase_if(m_lastReportsAt, [&](TimePoint aLoss) {
+    return aLoss + kLossRetention < aLastReportAt;
+  });
+  m_lastReportsAt.push_back(aLastReportAt);
 }
 
 std::size_t
 RecentLosses::CountAround(TimePoint aMoment) const
 {
-  return static_cast<std::size_t>(
-    std::count_if(m_heardAt.begin(), m_heardAt.end(), [&](TimePoint aOne) {
-      return aOne <= aMoment + kLostTogether && aMoment <= aOne + kLostTogether;
+  return static_cast<std::size_t>(std::count_if(
+    m_lastReportsAt.begin(), m_lastReportsAt.end(), [&](TimePoint aLoss) {
+      return aLoss <= aMoment + kConcurrentLossWindow &&
+             aMoment <= aLoss + kConcurrentLossWindow;
     }));
 }
 
--- a/src/placement/run_lookup.h
+++ b/src/placement/run_lookup.h
@@ -6,10 +6,11 @@
 
 namespace bamboostile::placement {
 
-/** Of a long-running task; others are done at this. */
-constexpr std::uint32_t kAtWorkPercent = 100;
+/** Progress at which a long-running task is ready; other tasks are done at
+ * this. */
+constexpr std::uint32_t kReadyPercent = 100;
 
-/** Whether the run is among rows of a report. */
+/** Whether a list of a report contains the run. */
 template<typename Row>
 bool
 Contains(const std::vector<Row>& aRows,
@@ -27,8 +28,8 @@
   return aJob.m_spec.m_steps[aTask.m_step];
 }
 
-/** Null where the book has no such job or step: reports may come from other
- * writers. */
+/** Null if the job table has no such job or step, since reports may come from
+ * programs other than this project's worker. */
 inline const jobs::StepSpec*
 FindStep(const jobs::Book& aBook, const jobs::TaskRef& aTask)
 {
--- a/src/placement/worker_lives.cpp
+++ b/src/placement/worker_lives.cpp
@@ -21,31 +21,34 @@
 WorkerTable::LivesOf(const InstanceId& aInstance) const
 {
   static const std::vector<WorkerLife> kNone;
-  const auto found = m_lives.find(aInstance);
-  return found == m_lives.end() ? kNone : found->second;
+  const auto found = m_incarnations.find(aInstance);
+  return found == m_incarnations.end() ? kNone : found->second;
 }
 
 bool
 WorkerTable::IsContested(const InstanceId& aInstance) const
 {
-  const auto& lives = LivesOf(aInstance);
-  const auto isHeard = [&](const WorkerLife& aLife) {
-    return !Find(aLife)->m_silent;
+  const auto& incarnations = LivesOf(aInstance);
+  const auto isNotLost = [&](const WorkerLife& aIncarnation) {
+    return !Find(aIncarnation)->m_silent;
   };
-  return m_contenders.contains(aInstance) ||
-         std::count_if(lives.begin(), lives.end(), isHeard) > 1;
+  return m_candidates.contains(aInstance) ||
+         std::count_if(incarnations.begin(), incarnations.end(), isNotLost) > 1;
 }
 
 bool
 WorkerTable::HasLaterLife(const Worker& aWorker) const
 {
-  if (m_contenders.contains(HostOf(aWorker.m_last))) {
+  if (m_candidates.contains(HostOf(aWorker.m_last))) {
     return true;
   }
-  const auto& lives = LivesOf(aWorker.m_last.m_instance);
-  return std::any_of(lives.begin(), lives.end(), [&](const WorkerLife& aLife) {
-    return Find(aLife)->m_firstHeardAt > aWorker.m_heardAt;
-  });
+  const auto& incarnations = LivesOf(aWorker.m_last.m_instance);
+  return std::any_of(incarnations.begin(),
+                     incarnations.end(),
+                     [&](const WorkerLife& aIncarnation) {
+                       return Find(aIncarnation)->m_firstHeardAt >
+                              aWorker.m_heardAt;
+                     });
 }
 
 std::optional<WorkerLife>
@@ -53,180 +56,186 @@
 {
   std::optional<WorkerLife> only;
   std::size_t count = 0;
-  const auto add = [&](const auto& aLives, const auto& aLifeOf) {
-    const auto first = aLives.lower_bound(WorkerLife{ aWorker });
-    for (auto it = first; it != aLives.end(); ++it) {
-      const WorkerLife& life = aLifeOf(*it);
-      if (life.m_id != aWorker) {
+  const auto add = [&](const auto& aIncarnations, const auto& aGetIncarnation) {
+    const auto first = aIncarnations.lower_bound(WorkerLife{ aWorker });
+    for (auto it = first; it != aIncarnations.end(); ++it) {
+      const WorkerLife& incarnation = aGetIncarnation(*it);
+      if (incarnation.m_id != aWorker) {
         break;
       }
-      only = life;
+      only = incarnation;
       ++count;
     }
   };
-  const auto ofEntry = [](const auto& aEntry) -> const WorkerLife& {
+  const auto fromEntry = [](const auto& aEntry) -> const WorkerLife& {
     return aEntry.first;
   };
-  const auto ofLife = [](const WorkerLife& aLife) -> const WorkerLife& {
-    return aLife;
+  const auto identity =
+    [](const WorkerLife& aIncarnation) -> const WorkerLife& {
+    return aIncarnation;
   };
-  add(m_workers, ofEntry);
-  add(m_retired.All(), ofLife);
-  add(m_superseded.All(), ofLife);
+  add(m_workers, fromEntry);
+  add(m_retired.All(), identity);
+  add(m_superseded.All(), identity);
   return count == 1 ? only : std::nullopt;
 }
 
-// A report of an early life may arrive after that life has ended. Taken for a
-// new one, it would end the runs of a worker that is cut off and runs on, and
-// they would run twice; so a life has to prove that it follows the occupant.
+// A report of an early incarnation may arrive after that incarnation has
+// ended. If it were taken for a new one, it would end the runs of a worker
+// that is cut off but still running, and they would run twice. An incarnation
+// therefore has to prove that it follows the current one.
 WorkerTable::Admission
 WorkerTable::Admit(const WorkerReport& aReport,
                    const jobs::Book& aBook,
                    TimePoint aNow,
                    WallTime aWall,
-                   Heard& aHeard)
+                   Heard& aResult)
 {
-  const WorkerLife& life = aReport.m_worker;
+  const WorkerLife& incarnation = aReport.m_worker;
   Admission admission;
-  if (!life.SaysStart()) {
-    const auto next = m_workers.upper_bound(life);
-    const bool isKnownToSay =
-      next != m_workers.end() && next->first.m_id == life.m_id;
-    if (isKnownToSay) {
+  if (!incarnation.SaysStart()) {
+    const auto next = m_workers.upper_bound(incarnation);
+    const bool isStartKnown =
+      next != m_workers.end() && next->first.m_id == incarnation.m_id;
+    if (isStartKnown) {
       admission.m_ignored = Ignored::kUnproven;
     }
     return admission;
   }
-  Occupant& occupant = FindOccupant(aReport, aBook, aNow);
-  if (occupant.m_life != life) {
-    if (!IsSuccessor(aReport, occupant, aNow)) {
+  CurrentIncarnation& current = FindCurrent(aReport, aBook, aNow);
+  if (current.m_incarnation != incarnation) {
+    if (!IsSuccessor(aReport, current, aNow)) {
       admission.m_ignored = Ignored::kUnproven;
       return admission;
     }
-    const TimePoint knownSince = occupant.m_knownSince;
-    admission.m_fitness =
-      Supersede(occupant.m_life, aReport, aBook, aNow, aWall, aHeard);
-    m_superseded.Remove(life);
-    m_occupants[HostOf(aReport)] = { life, knownSince };
+    const TimePoint trackedSince = current.m_trackedSince;
+    admission.m_health =
+      Supersede(current.m_incarnation, aReport, aBook, aNow, aWall, aResult);
+    m_superseded.Remove(incarnation);
+    m_currentIncarnations[HostOf(aReport)] = { incarnation, trackedSince };
   }
-  m_contenders.erase(HostOf(aReport));
+  m_candidates.erase(HostOf(aReport));
   return admission;
 }
 
-// Of lives that an earlier leader knew, only those with runs on record are
-// known to this one.
-WorkerTable::Occupant&
-WorkerTable::FindOccupant(const WorkerReport& aReport,
-                          const jobs::Book& aBook,
-                          TimePoint aNow)
+// This leader knows only those incarnations of an earlier leader that have
+// runs in the state.
+WorkerTable::CurrentIncarnation&
+WorkerTable::FindCurrent(const WorkerReport& aReport,
+                         const jobs::Book& aBook,
+                         TimePoint aNow)
 {
-  if (!m_inherited) {
-    m_inherited.emplace();
-    for (const auto& [life, tasks] : aBook.Placed()) {
-      m_inherited->emplace(life.m_id, life);
+  if (!m_recordedIncarnations) {
+    m_recordedIncarnations.emplace();
+    for (const auto& [incarnation, tasks] : aBook.Placed()) {
+      m_recordedIncarnations->emplace(incarnation.m_id, incarnation);
     }
   }
-  const auto [found, isNew] = m_occupants.try_emplace(
-    HostOf(aReport), Occupant{ aReport.m_worker, aNow });
-  const auto inherited = m_inherited->find(aReport.m_worker.m_id);
-  if (inherited != m_inherited->end()) {
-    if (isNew && inherited->second.SaysStart()) {
-      found->second = { inherited->second, m_leaderSince };
+  const auto [found, isNew] = m_currentIncarnations.try_emplace(
+    HostOf(aReport), CurrentIncarnation{ aReport.m_worker, aNow });
+  const auto recorded = m_recordedIncarnations->find(aReport.m_worker.m_id);
+  if (recorded != m_recordedIncarnations->end()) {
+    if (isNew && recorded->second.SaysStart()) {
+      found->second = { recorded->second, m_leaderSince };
     }
-    m_inherited->erase(inherited);
+    m_recordedIncarnations->erase(recorded);
   }
   return found->second;
 }
 
-// What has been followed for longer than reports can be late has no earlier
-// life that is not known; the time of day tells the next one then from one that
-// was missed in between. Otherwise a life proves itself by going on reporting
-// while the occupant is silent. One that was superseded has lost its runs: it
-// is listened to again only when its successor's have ended as well.
+// If a host has been tracked for longer than reports can be delayed, all its
+// earlier incarnations are known, and the wall-clock start time distinguishes
+// the next one from one that was missed in between. Otherwise an incarnation
+// proves itself by continuing to report while the current one does not. A
+// superseded incarnation has lost its runs: it is accepted again only after the
+// runs of its successor have ended as well.
 bool
 WorkerTable::IsSuccessor(const WorkerReport& aReport,
-                         const Occupant& aOccupant,
+                         const CurrentIncarnation& aCurrent,
                          TimePoint aNow)
 {
-  const WorkerLife& life = aReport.m_worker;
-  const auto [found, isNew] = m_contenders[HostOf(aReport)].try_emplace(
-    life, Contender{ aNow, aNow, aReport.m_sequence });
-  Contender& contender = found->second;
-  if (!isNew && aReport.m_sequence <= contender.m_sequence) {
+  const WorkerLife& incarnation = aReport.m_worker;
+  const auto [found, isNew] = m_candidates[HostOf(aReport)].try_emplace(
+    incarnation, Candidate{ aNow, aNow, aReport.m_sequence });
+  Candidate& candidate = found->second;
+  if (!isNew && aReport.m_sequence <= candidate.m_sequence) {
     return false;
   }
-  contender.m_heardAt = aNow;
-  contender.m_sequence = aReport.m_sequence;
-  const bool hasGoneOn = aNow >= contender.m_since + m_options.m_confirmLife;
-  const Worker* worker = Find(aOccupant.m_life);
-  if (m_superseded.Contains(life)) {
-    return hasGoneOn && (worker == nullptr || worker->m_silent);
+  candidate.m_lastReportAt = aNow;
+  candidate.m_sequence = aReport.m_sequence;
+  const bool hasKeptReporting =
+    aNow >= candidate.m_since + m_options.m_confirmIncarnationAfter;
+  const Worker* worker = Find(aCurrent.m_incarnation);
+  if (m_superseded.Contains(incarnation)) {
+    return hasKeptReporting && (worker == nullptr || worker->m_silent);
   }
-  const bool isFollowed =
-    aNow >= aOccupant.m_knownSince + m_options.m_lateReports;
-  return hasGoneOn ||
-         (isFollowed && life.m_startedAt > aOccupant.m_life.m_startedAt);
+  const bool isTrackedLongEnough =
+    aNow >= aCurrent.m_trackedSince + m_options.m_lateReports;
+  return hasKeptReporting ||
+         (isTrackedLongEnough &&
+          incarnation.m_startedAt > aCurrent.m_incarnation.m_startedAt);
 }
 
-Fitness
+HealthRecord
 WorkerTable::Supersede(WorkerLife aPrevious,
                        const WorkerReport& aReport,
                        const jobs::Book& aBook,
                        TimePoint aNow,
                        WallTime aWall,
-                       Heard& aHeard)
+                       Heard& aResult)
 {
-  Fitness fitness;
+  HealthRecord health;
   const auto lost = m_workers.find(aPrevious);
   if (lost != m_workers.end()) {
     Worker& worker = lost->second;
     if (!worker.m_silent) {
-      NoteLoss(worker, LossCause::kLaterLife, aBook, aNow);
+      RecordLoss(worker, LossCause::kLaterIncarnation, aBook, aNow);
     }
-    if (!worker.m_lostInTrial) {
+    if (!worker.m_lostInIsolatedRun) {
       m_recentLosses.Add(worker.m_heardAt);
     }
-    fitness = worker.m_fitness;
+    health = worker.m_health;
   } else if (const auto placed = aBook.Placed().find(aPrevious);
              placed != aBook.Placed().end()) {
     m_lost.push_back({ aPrevious,
                        aReport.m_instance,
-                       LossCause::kLaterLife,
+                       LossCause::kLaterIncarnation,
                        aNow - m_leaderSince,
                        placed->second.size() });
   }
-  aHeard.m_ends = EndAll(aPrevious, aReport.m_instance, aBook, aWall);
-  aHeard.m_changed = true;
+  aResult.m_ends = EndAllRuns(aPrevious, aReport.m_instance, aBook, aWall);
+  aResult.m_changed = true;
   Forget(aPrevious);
   (aPrevious.SaysStart() ? m_superseded : m_retired).Add(aPrevious);
-  aHeard.m_superseded = std::move(aPrevious);
-  return fitness;
+  aResult.m_superseded = std::move(aPrevious);
+  return health;
 }
 
 void
-WorkerTable::ForgetContenders(TimePoint aNow)
+WorkerTable::ForgetCandidates(TimePoint aNow)
 {
-  for (auto& [host, lives] : m_contenders) {
-    std::erase_if(lives, [&](const auto& aEntry) {
-      return aNow > aEntry.second.m_heardAt + LongestHold();
+  for (auto& [host, incarnations] : m_candidates) {
+    std::erase_if(incarnations, [&](const auto& aEntry) {
+      return aNow > aEntry.second.m_lastReportAt + MaxLeaseDuration();
     });
   }
-  std::erase_if(m_contenders,
+  std::erase_if(m_candidates,
                 [](const auto& aEntry) { return aEntry.second.empty(); });
 }
 
-// A damaged report may have named another instance since the first one.
+// A damaged report may have named another instance since the first one, so all
+// instances are searched.
 void
 WorkerTable::Forget(const WorkerLife& aWorker)
 {
   m_workers.erase(aWorker);
-  for (auto& [instance, lives] : m_lives) {
-    std::erase(lives, aWorker);
+  for (auto& [instance, incarnations] : m_incarnations) {
+    std::erase(incarnations, aWorker);
   }
-  std::erase_if(m_lives,
+  std::erase_if(m_incarnations,
                 [](const auto& aEntry) { return aEntry.second.empty(); });
-  std::erase_if(m_occupants, [&](const auto& aEntry) {
-    return aEntry.second.m_life == aWorker;
+  std::erase_if(m_currentIncarnations, [&](const auto& aEntry) {
+    return aEntry.second.m_incarnation == aWorker;
   });
 }
 
@@ -239,31 +248,32 @@
   const Worker* worker = Find(aWorker);
   const InstanceId instance =
     worker == nullptr ? InstanceId{} : worker->m_last.m_instance;
-  auto ends = EndAll(aWorker, instance, aBook, aWall);
+  auto ends = EndAllRuns(aWorker, instance, aBook, aWall);
   Forget(aWorker);
   return ends;
 }
 
-// The life that an order was aimed at may have ended before, unnoticed, and the
-// next one have been heard while the order was under way. That one has ended
-// too, and nothing it got will ever run.
+// The incarnation that an order addressed may have ended unnoticed before, and
+// the next one may have reported while the order was under way. That one has
+// ended too, and its pending starts will never run.
 std::vector<jobs::EndRun>
 WorkerTable::RetireInstance(const WorkerLife& aWorker,
-                            TimePoint aHeardBefore,
+                            TimePoint aFirstReportBefore,
                             const jobs::Book& aBook,
                             WallTime aWall)
 {
   std::vector<WorkerLife> ended;
   if (const Worker* worker = Find(aWorker)) {
-    for (const WorkerLife& life : LivesOf(worker->m_last.m_instance)) {
-      if (life != aWorker && Find(life)->m_firstHeardAt < aHeardBefore) {
-        ended.push_back(life);
+    for (const WorkerLife& incarnation : LivesOf(worker->m_last.m_instance)) {
+      if (incarnation != aWorker &&
+          Find(incarnation)->m_firstHeardAt < aFirstReportBefore) {
+        ended.push_back(incarnation);
       }
     }
   }
   auto ends = Retire(aWorker, aBook, aWall);
-  for (const WorkerLife& life : ended) {
-    const auto more = Retire(life, aBook, aWall);
+  for (const WorkerLife& incarnation : ended) {
+    const auto more = Retire(incarnation, aBook, aWall);
     ends.insert(ends.end(), more.begin(), more.end());
   }
   return ends;
--- a/src/placement/worker_losses.cpp
+++ b/src/placement/worker_losses.cpp
@@ -6,37 +6,39 @@
 
 namespace {
 
-/** Lost on so many, a task is to blame and not one of its instances: a small
- * pool has no other. */
-constexpr std::size_t kInstancesOfProof = 3;
+/** Number of instances after which a task counts as the cause of its losses,
+ * even if one of the instances has lost it before. A small pool may have no
+ * other instances. */
+constexpr std::size_t kMinInstancesForProof = 3;
 
 } // namespace
 
 std::vector<jobs::TaskRef>
-WorkerTable::FindUnshown(const Worker& aWorker, const jobs::Book& aBook) const
+WorkerTable::FindUnconfirmed(const Worker& aWorker,
+                             const jobs::Book& aBook) const
 {
-  std::vector<jobs::TaskRef> unshown;
+  std::vector<jobs::TaskRef> unconfirmed;
   for (const PendingStart& start : FindPending(aWorker, aBook)) {
     if (aWorker.m_sentAt.contains(start.m_task)) {
-      unshown.push_back(start.m_task);
+      unconfirmed.push_back(start.m_task);
     }
   }
-  return unshown;
+  return unconfirmed;
 }
 
 std::size_t
-WorkerTable::CountLostBeside(const Worker& aWorker,
-                             const jobs::Book& aBook,
-                             TimePoint aNow) const
+WorkerTable::CountConcurrentLosses(const Worker& aWorker,
+                                   const jobs::Book& aBook,
+                                   TimePoint aNow) const
 {
   std::size_t count = m_recentLosses.CountAround(aWorker.m_heardAt);
   for (const auto& [id, other] : m_workers) {
-    const bool isSilent = IsInDoubt(other, aNow);
-    const bool isTogether =
-      other.m_heardAt <= aWorker.m_heardAt + kLostTogether &&
-      aWorker.m_heardAt <= other.m_heardAt + kLostTogether;
-    if (&other != &aWorker && isSilent && isTogether && !other.m_lostInTrial &&
-        !HasTrial(other, aBook)) {
+    const bool isUnresponsive = IsInDoubt(other, aNow);
+    const bool isConcurrent =
+      other.m_heardAt <= aWorker.m_heardAt + kConcurrentLossWindow &&
+      aWorker.m_heardAt <= other.m_heardAt + kConcurrentLossWindow;
+    if (&other != &aWorker && isUnresponsive && isConcurrent &&
+        !other.m_lostInIsolatedRun && !HasIsolatedRun(other, aBook)) {
       ++count;
     }
   }
@@ -47,78 +49,83 @@
 WorkerTable::IsCalm(const jobs::Book& aBook, TimePoint aNow) const
 {
   const TimePoint since = std::max(m_lastLossAt, m_leaderSince);
-  const auto isInDoubt = [&](const auto& aEntry) {
+  const auto isUnresponsive = [&](const auto& aEntry) {
     const Worker& worker = aEntry.second;
     return !worker.m_silent && IsInDoubt(worker, aNow) &&
-           !HasTrial(worker, aBook);
+           !HasIsolatedRun(worker, aBook);
   };
-  return aNow >= since + m_options.m_calmAfter &&
-         std::none_of(m_workers.begin(), m_workers.end(), isInDoubt);
+  return aNow >= since + m_options.m_quietPeriod &&
+         std::none_of(m_workers.begin(), m_workers.end(), isUnresponsive);
 }
 
 bool
-WorkerTable::IsOnTrial(const jobs::TaskRef& aTask,
-                       const std::vector<jobs::TaskRef>& aUnshown,
-                       const jobs::Book& aBook)
+WorkerTable::IsIsolatedRun(const jobs::TaskRef& aTask,
+                           const std::vector<jobs::TaskRef>& aUnconfirmed,
+                           const jobs::Book& aBook)
 {
   const auto losses = aBook.LossesOf(aTask);
-  const bool isUnshown =
-    std::find(aUnshown.begin(), aUnshown.end(), aTask) != aUnshown.end();
-  return isUnshown ? jobs::IsSuspect(losses) : jobs::IsTriedThroughout(losses);
+  const bool isUnconfirmed =
+    std::find(aUnconfirmed.begin(), aUnconfirmed.end(), aTask) !=
+    aUnconfirmed.end();
+  return isUnconfirmed ? jobs::IsSuspect(losses)
+                       : jobs::IsTriedThroughout(losses);
 }
 
 bool
-WorkerTable::HasTrial(const Worker& aWorker, const jobs::Book& aBook) const
+WorkerTable::HasIsolatedRun(const Worker& aWorker,
+                            const jobs::Book& aBook) const
 {
   const auto placed = aBook.Placed().find(aWorker.m_last.m_worker);
   if (placed == aBook.Placed().end() || aBook.LostWithWorkers().empty()) {
     return false;
   }
-  const auto unshown = FindUnshown(aWorker, aBook);
+  const auto unconfirmed = FindUnconfirmed(aWorker, aBook);
   return std::any_of(
     placed->second.begin(), placed->second.end(), [&](const auto& aTask) {
-      return IsOnTrial(aTask, unshown, aBook);
+      return IsIsolatedRun(aTask, unconfirmed, aBook);
     });
 }
 
-// Whatever had just been started there is the first suspect; what was at work
-// is one only where no trial explains the loss. Only a crash in a trial, with
-// no other start and no other loss beside it, counts as proof: a lapsed lease
-// may be that of a worker which lives behind a cut link, and an instance that
-// the task was lost on before may be the one to blame. A worker that is back
-// sooner than others would look silent may have gone together with them.
+// Tasks that had just been started on the worker are the first suspects. Tasks
+// that were already running become suspects only if no isolated run explains
+// the loss. Only a crash during an isolated run, without any other start or
+// concurrent loss, counts as proof: a worker whose lease has ended may still
+// run behind a broken link, and an instance on which the task was lost before
+// may itself be faulty. A worker that returns before others would count as
+// unresponsive may have been lost together with them.
 jobs::CrashEvidence
-WorkerTable::JudgeTask(const jobs::TaskRef& aTask,
-                       const Worker& aWorker,
-                       const LostWorker& aLost,
-                       const std::vector<jobs::TaskRef>& aUnshown,
-                       const jobs::Book& aBook) const
+WorkerTable::AssessEvidence(const jobs::TaskRef& aTask,
+                            const Worker& aWorker,
+                            const LostWorker& aLost,
+                            const std::vector<jobs::TaskRef>& aUnconfirmed,
+                            const jobs::Book& aBook) const
 {
   using jobs::CrashEvidence;
   const jobs::Task& task = *aBook.FindTask(aTask);
   const auto losses = aBook.LossesOf(aTask);
   const bool isProofOfCrash =
-    aLost.m_cause == LossCause::kLaterLife &&
-    aLost.m_silentFor >= m_options.m_doubtAfter &&
+    aLost.m_cause == LossCause::kLaterIncarnation &&
+    aLost.m_silentFor >= m_options.m_unresponsiveAfter &&
     (!jobs::WasLostOn(losses, aWorker.m_last.m_instance) ||
-     jobs::CountInstances(losses) >= kInstancesOfProof);
+     jobs::CountInstances(losses) >= kMinInstancesForProof);
   const bool isShared = aLost.m_lostBeside > 0;
   const auto& placed = aBook.Placed().at(aWorker.m_last.m_worker);
-  const bool hasTrialBeside =
+  const bool hasOtherIsolatedRun =
     std::any_of(placed.begin(), placed.end(), [&](const auto& aOther) {
       return aOther != aTask && !aBook.AreOneGang(aOther, aTask) &&
-             IsOnTrial(aOther, aUnshown, aBook);
+             IsIsolatedRun(aOther, aUnconfirmed, aBook);
     });
   if (task.m_settled) {
     return CrashEvidence::kNone;
   }
-  if (std::find(aUnshown.begin(), aUnshown.end(), aTask) != aUnshown.end()) {
-    const bool isAlone =
-      std::all_of(aUnshown.begin(), aUnshown.end(), [&](const auto& aOther) {
+  if (std::find(aUnconfirmed.begin(), aUnconfirmed.end(), aTask) !=
+      aUnconfirmed.end()) {
+    const bool isAlone = std::all_of(
+      aUnconfirmed.begin(), aUnconfirmed.end(), [&](const auto& aOther) {
         return aOther == aTask || aBook.AreOneGang(aOther, aTask);
       });
     return jobs::IsSuspect(losses) && isProofOfCrash && isAlone && !isShared &&
-               !hasTrialBeside
+               !hasOtherIsolatedRun
              ? CrashEvidence::kAlone
              : CrashEvidence::kStarting;
   }
@@ -128,28 +135,29 @@
   if (isShared) {
     return CrashEvidence::kShared;
   }
-  const bool isTried = jobs::IsTriedThroughout(losses);
-  if (isTried && isProofOfCrash && aUnshown.empty() && !hasTrialBeside) {
+  const bool isIsolated = jobs::IsTriedThroughout(losses);
+  if (isIsolated && isProofOfCrash && aUnconfirmed.empty() &&
+      !hasOtherIsolatedRun) {
     return CrashEvidence::kAlone;
   }
-  if (isTried) {
-    return hasTrialBeside ? CrashEvidence::kRunning : CrashEvidence::kNone;
+  if (isIsolated) {
+    return hasOtherIsolatedRun ? CrashEvidence::kRunning : CrashEvidence::kNone;
   }
-  return aWorker.m_lostInTrial ? CrashEvidence::kShared
-                               : CrashEvidence::kRunning;
+  return aWorker.m_lostInIsolatedRun ? CrashEvidence::kShared
+                                     : CrashEvidence::kRunning;
 }
 
 void
-WorkerTable::NoteLoss(Worker& aWorker,
-                      LossCause aCause,
-                      const jobs::Book& aBook,
-                      TimePoint aNow)
+WorkerTable::RecordLoss(Worker& aWorker,
+                        LossCause aCause,
+                        const jobs::Book& aBook,
+                        TimePoint aNow)
 {
   const WorkerLife& id = aWorker.m_last.m_worker;
   const auto placed = aBook.Placed().find(id);
-  const auto unshown = FindUnshown(aWorker, aBook);
-  aWorker.m_lostInTrial = HasTrial(aWorker, aBook);
-  if (!aWorker.m_lostInTrial) {
+  const auto unconfirmed = FindUnconfirmed(aWorker, aBook);
+  aWorker.m_lostInIsolatedRun = HasIsolatedRun(aWorker, aBook);
+  if (!aWorker.m_lostInIsolatedRun) {
     m_lastLossAt = aNow;
   }
   if (placed == aBook.Placed().end()) {
@@ -157,17 +165,19 @@
   }
   const LostWorker lost{ id,
                          aWorker.m_last.m_instance,
-                         HasLaterLife(aWorker) ? LossCause::kLaterLife : aCause,
+                         HasLaterLife(aWorker) ? LossCause::kLaterIncarnation
+                                               : aCause,
                          aNow - aWorker.m_heardAt,
                          placed->second.size(),
-                         unshown.size(),
-                         CountLostBeside(aWorker, aBook, aNow) };
+                         unconfirmed.size(),
+                         CountConcurrentLosses(aWorker, aBook, aNow) };
   m_lost.push_back(lost);
   if (aWorker.m_last.m_draining || m_cordoned.contains(id)) {
     return;
   }
   for (const jobs::TaskRef& ref : placed->second) {
-    const auto evidence = JudgeTask(ref, aWorker, lost, unshown, aBook);
+    const auto evidence =
+      AssessEvidence(ref, aWorker, lost, unconfirmed, aBook);
     if (evidence != jobs::CrashEvidence::kNone) {
       aWorker.m_evidence[ref] = evidence;
     }
@@ -177,25 +187,25 @@
 std::vector<jobs::SettleRun>
 WorkerTable::FindSettled(const jobs::Book& aBook, TimePoint aNow) const
 {
-  std::vector<jobs::SettleRun> settled;
+  std::vector<jobs::SettleRun> stable;
   for (const auto& [id, worker] : m_workers) {
     for (const auto& [ref, progress] : worker.m_progress) {
-      const bool isAtWork =
-        progress.m_percent >= kAtWorkPercent &&
-        worker.m_heardAt >= progress.m_since + m_options.m_settledAfter &&
+      const bool isReady =
+        progress.m_percent >= kReadyPercent &&
+        worker.m_heardAt >= progress.m_since + m_options.m_stableAfter &&
         !IsInDoubt(worker, aNow);
-      if (isAtWork && IsExpected(aBook, id, ref, progress.m_run) &&
+      if (isReady && IsExpected(aBook, id, ref, progress.m_run) &&
           StepOf(*aBook.Find(ref.m_job), ref).m_longRunning &&
           !aBook.FindTask(ref)->m_settled) {
-        settled.push_back({ ref, progress.m_run });
+        stable.push_back({ ref, progress.m_run });
       }
     }
   }
-  return settled;
+  return stable;
 }
 
-// What an earlier leader sent, and when, is not known. A suspect may have been
-// on trial there; of any other task one such loss says little.
+// It is unknown what an earlier leader sent, and when. A suspect may have had
+// an isolated run there; for any other task, one such loss is weak evidence.
 jobs::CrashEvidence
 WorkerTable::EvidenceOf(const jobs::TaskRef& aTask,
                         const WorkerLife& aWorker,
@@ -207,7 +217,7 @@
                                              : found->second;
   }
   const jobs::Task& task = *aBook.FindTask(aTask);
-  if (task.m_settled || IsGone(aWorker)) {
+  if (task.m_settled || HasEnded(aWorker)) {
     return jobs::CrashEvidence::kNone;
   }
   return jobs::IsSuspect(task.m_losses) ? jobs::CrashEvidence::kStarting
@@ -215,10 +225,10 @@
 }
 
 std::vector<jobs::EndRun>
-WorkerTable::EndAll(const WorkerLife& aWorker,
-                    const InstanceId& aInstance,
-                    const jobs::Book& aBook,
-                    WallTime aWall)
+WorkerTable::EndAllRuns(const WorkerLife& aWorker,
+                        const InstanceId& aInstance,
+                        const jobs::Book& aBook,
+                        WallTime aWall)
 {
   std::vector<jobs::EndRun> ends;
   const auto placed = aBook.Placed().find(aWorker);
@@ -243,12 +253,12 @@
 {
   std::vector<jobs::EndRun> ends;
   const auto add = [&](const WorkerLife& aWorker, const InstanceId& aInstance) {
-    auto lost = EndAll(aWorker, aInstance, aBook, aWall);
+    auto lost = EndAllRuns(aWorker, aInstance, aBook, aWall);
     std::move(lost.begin(), lost.end(), std::back_inserter(ends));
   };
   for (auto& [id, worker] : m_workers) {
     if (!worker.m_silent && aNow > worker.m_leaseEnd) {
-      NoteLoss(worker, LossCause::kLeaseEnded, aBook, aNow);
+      RecordLoss(worker, LossCause::kLeaseEnded, aBook, aNow);
       worker.m_silent = true;
       worker.m_sentAt.clear();
       worker.m_toStop.clear();
@@ -257,19 +267,20 @@
       add(id, worker.m_last.m_instance);
     }
   }
-  ForgetContenders(aNow);
+  ForgetCandidates(aNow);
   const bool knowsAllLeases = KnowsAllLeases(aNow);
   for (const auto& [id, tasks] : aBook.Placed()) {
     if (m_workers.contains(id)) {
       continue;
     }
-    // Placed while the proof of the life's end was on its way: never sent.
-    if (IsGone(id)) {
+    // The run was placed before the proof of the incarnation's end arrived,
+    // and it was never sent.
+    if (HasEnded(id)) {
       add(id, InstanceId{});
     } else if (knowsAllLeases) {
       m_lost.push_back({ id,
                          InstanceId{},
-                         LossCause::kNeverHeard,
+                         LossCause::kNeverReported,
                          aNow - m_leaderSince,
                          tasks.size() });
       add(id, InstanceId{});
--- a/src/placement/worker_orders.cpp
+++ b/src/placement/worker_orders.cpp
@@ -9,25 +9,27 @@
 namespace {
 
 constexpr std::uint32_t kFullRate = 100;
-/** Of its CPU in use, where a worker counts as full: what is left is less than
- * a task of the usual size needs. */
-constexpr std::int64_t kFullPercent = 85;
-/** Share of a latency target at which filler tasks beside it is slowed, and
- * below which it is let go again. Between them lies the noise of a tail that
- * is measured over half a second. */
+/** Percentage of reserved CPU from which a worker counts as full: the rest is
+ * less than a task of the usual size needs. */
+constexpr std::int64_t kFullCpuPercent = 85;
+/** Percentages of a latency target: at the first, best-effort tasks on the same
+ * worker are slowed; below the second, they are sped up again. The gap covers
+ * the noise of a tail latency that is measured over half a second. */
 constexpr std::uint32_t kSlowAtPercent = 75;
-constexpr std::uint32_t kReleaseAtPercent = 50;
-constexpr std::uint32_t kReleaseStep = 25;
-/** However full the leader is, a worker can miss two reports in a row before
- * its tasks are in doubt, and four before its lease is over. */
-constexpr Duration kSeldomest = Millis{ 700 };
+constexpr std::uint32_t kSpeedUpAtPercent = 50;
+constexpr std::uint32_t kSpeedUpStep = 25;
+/** Upper bound of the report interval under any load of the leader: a worker
+ * can miss two reports in a row before it counts as unresponsive, and four
+ * before its lease ends. */
+constexpr Duration kMaxReportInterval = Millis{ 700 };
 
-/** A long-running task that is at work as it should be. Those that fill are
- * paced by reports, and those that warm up are waited for. */
+/** Whether the run needs no attention: a ready long-running task. Best-effort
+ * tasks are excluded because reports control their rate, and tasks that are
+ * warming up because others wait for them. */
 bool
-IsAtRest(const jobs::Book& aBook,
-         const WorkerLife& aWorker,
-         const RunReport& aRun)
+IsSteadyRun(const jobs::Book& aBook,
+            const WorkerLife& aWorker,
+            const RunReport& aRun)
 {
   const jobs::Job* job = aBook.Find(aRun.m_task.m_job);
   if (job == nullptr || job->m_state != jobs::JobState::kActive ||
@@ -35,8 +37,7 @@
     return false;
   }
   const jobs::StepSpec& step = StepOf(*job, aRun.m_task);
-  return step.m_longRunning && !step.m_fills &&
-         aRun.m_percent >= kAtWorkPercent;
+  return step.m_longRunning && !step.m_fills && aRun.m_percent >= kReadyPercent;
 }
 
 } // namespace
@@ -55,47 +56,50 @@
     placed == aBook.Placed().end() ? 0 : placed->second.size();
   return active.size() == expected &&
          std::all_of(active.begin(), active.end(), [&](const auto& aRun) {
-           return IsAtRest(aBook, aWorker, aRun);
+           return IsSteadyRun(aBook, aWorker, aRun);
          });
 }
 
-// Reports without ends are most of what a leader takes in a peak, and full
-// workers are most of those that send them.
+// Reports without ends are most of a leader's load at a peak, and full workers
+// send most of them.
 Duration
-WorkerTable::UsualNextReport(const Worker& aWorker,
-                             const jobs::Book& aBook) const
+WorkerTable::BaseReportInterval(const Worker& aWorker,
+                                const jobs::Book& aBook) const
 {
   const WorkerLife& id = aWorker.m_last.m_worker;
-  // A trial takes the worker from all others until a report shows its outcome.
-  if (IsQuiet(id, aBook) || HasTrial(aWorker, aBook)) {
-    return m_options.m_reportAgain;
+  // An isolated run blocks the worker for all other tasks until a report shows
+  // its outcome.
+  if (IsQuiet(id, aBook) || HasIsolatedRun(aWorker, aBook)) {
+    return m_options.m_steadyReportDelay;
   }
   const auto placed = aBook.Placed().find(id);
   if (placed == aBook.Placed().end() || !aWorker.m_rates.empty()) {
-    return m_options.m_reportEvery;
+    return m_options.m_reportInterval;
   }
   std::int64_t usedCpu = 0;
   for (const jobs::TaskRef& ref : placed->second) {
     const jobs::StepSpec& step = StepOf(*aBook.Find(ref.m_job), ref);
     usedCpu += step.CountedCpu();
   }
-  const std::int64_t allCpu = aWorker.m_last.m_capacity.m_cpuMillis;
-  const bool isFull = usedCpu * 100 >= allCpu * kFullPercent;
-  return isFull ? m_options.m_reportWhenFull : m_options.m_reportEvery;
+  const std::int64_t totalCpu = aWorker.m_last.m_capacity.m_cpuMillis;
+  const bool isFull = usedCpu * 100 >= totalCpu * kFullCpuPercent;
+  return isFull ? m_options.m_fullReportInterval : m_options.m_reportInterval;
 }
 
 Duration
-WorkerTable::NextReport(const Worker& aWorker, const jobs::Book& aBook) const
+WorkerTable::ReportInterval(const Worker& aWorker,
+                            const jobs::Book& aBook) const
 {
-  return std::min<Duration>(UsualNextReport(aWorker, aBook) * m_reportStretch,
-                            kSeldomest);
+  return std::min<Duration>(BaseReportInterval(aWorker, aBook) *
+                              m_reportIntervalFactor,
+                            kMaxReportInterval);
 }
 
 Orders
 WorkerTable::AnswerUnproven() const
 {
   Orders orders;
-  orders.m_nextReport = m_options.m_reportEvery;
+  orders.m_nextReport = m_options.m_reportInterval;
   return orders;
 }
 
@@ -109,23 +113,23 @@
   const WorkerReport& report = worker.m_last;
   orders.m_ackedUpTo = worker.m_ackedUpTo;
   orders.m_lease = m_options.m_lease;
-  orders.m_nextReport = NextReport(worker, aBook);
-  worker.m_leaseEnd = aNow + LongestHold();
+  orders.m_nextReport = ReportInterval(worker, aBook);
+  worker.m_leaseEnd = aNow + MaxLeaseDuration();
   for (const RunReport& run : report.m_active) {
     const jobs::Job* job = aBook.Find(run.m_task.m_job);
-    // Between the decision to move a task and this answer, others of its step
-    // may have been lost; the stop is then taken back.
+    // Other tasks of the step may have been lost since the decision to move
+    // this one; the stop is then withdrawn.
     if (job != nullptr && !report.m_draining &&
         worker.m_toStop.contains({ run.m_task, run.m_run }) &&
         IsExpected(aBook, aWorker, run.m_task, run.m_run) &&
         !MayDisrupt(*job, run.m_task, aNow)) {
       worker.m_toStop.erase({ run.m_task, run.m_run });
     }
-    const bool wanted = job != nullptr &&
-                        job->m_state == jobs::JobState::kActive &&
-                        IsExpected(aBook, aWorker, run.m_task, run.m_run) &&
-                        !worker.m_toStop.contains({ run.m_task, run.m_run });
-    if (!wanted) {
+    const bool isWanted = job != nullptr &&
+                          job->m_state == jobs::JobState::kActive &&
+                          IsExpected(aBook, aWorker, run.m_task, run.m_run) &&
+                          !worker.m_toStop.contains({ run.m_task, run.m_run });
+    if (!isWanted) {
       orders.m_stops.push_back({ run.m_task, run.m_run });
     }
   }
@@ -145,14 +149,15 @@
   return orders;
 }
 
-// Filler tasks raise the tail of tasks that serve beside them. They are
-// slowed by halves while a target is near, and let go in steps: fast down,
-// slow up, so that a target is passed for less than a second.
+// Best-effort tasks raise the tail latency of the tasks that they share a
+// worker with. Their rate is halved while a target is close and raised in fixed
+// steps afterwards. Slowing down faster than speeding up keeps a target from
+// being exceeded for more than a second.
 void
 WorkerTable::AddRates(Worker& aWorker, const jobs::Book& aBook, Orders& aOrders)
 {
-  bool isClose = false;
-  bool isCalm = true;
+  bool isNearTarget = false;
+  bool isFarFromTarget = true;
   for (const RunReport& run : aWorker.m_last.m_active) {
     const jobs::StepSpec* step = FindStep(aBook, run.m_task);
     if (step == nullptr) {
@@ -163,8 +168,9 @@
     if (target == 0) {
       continue;
     }
-    isClose = isClose || run.m_load * 100 > target * kSlowAtPercent;
-    isCalm = isCalm && run.m_load * 100 < target * kReleaseAtPercent;
+    isNearTarget = isNearTarget || run.m_load * 100 > target * kSlowAtPercent;
+    isFarFromTarget =
+      isFarFromTarget && run.m_load * 100 < target * kSpeedUpAtPercent;
   }
   for (const RunReport& run : aWorker.m_last.m_active) {
     const jobs::StepSpec* step = FindStep(aBook, run.m_task);
@@ -172,15 +178,15 @@
       continue;
     }
     const auto known = aWorker.m_rates.find(run.m_task);
-    const std::uint32_t before =
+    const std::uint32_t previous =
       known == aWorker.m_rates.end() ? kFullRate : known->second;
-    std::uint32_t rate = before;
-    if (isClose) {
-      rate = before / 2;
-    } else if (isCalm) {
-      rate = std::min(kFullRate, before + kReleaseStep);
+    std::uint32_t rate = previous;
+    if (isNearTarget) {
+      rate = previous / 2;
+    } else if (isFarFromTarget) {
+      rate = std::min(kFullRate, previous + kSpeedUpStep);
     }
-    if (rate != kFullRate || before != kFullRate) {
+    if (rate != kFullRate || previous != kFullRate) {
       aWorker.m_rates[run.m_task] = rate;
       aOrders.m_rates.push_back({ run.m_task, run.m_run, rate });
     }
--- a/src/placement/workers.cpp
+++ b/src/placement/workers.cpp
@@ -9,25 +9,28 @@
 
 namespace {
 
-/** Failures in a row, without one run done, after which a worker is taken for
- * faulty: tasks that fail by themselves hardly ever come so close together. */
-constexpr std::uint32_t kFailuresToSetAside = 3;
-constexpr Duration kSetAside = Millis{ 6000 };
+/** Consecutive failures, without a run that ended as done, after which a
+ * worker counts as faulty. Tasks that fail on their own rarely fail this often
+ * in a row. */
+constexpr std::uint32_t kFailuresToExclude = 3;
+constexpr Duration kExclusionPeriod = Millis{ 6000 };
 
-/** The run is active, or has another end. */
+/** Whether the report also shows the run as active or with another end. */
 bool
-IsKnownOtherwise(const WorkerReport& aReport, const EndReport& aEnd)
+HasOtherReport(const WorkerReport& aReport, const EndReport& aEnd)
 {
-  const auto isOther = [&](const EndReport& aOne) {
-    return aOne.m_number != aEnd.m_number && aOne.m_task == aEnd.m_task &&
-           aOne.m_run == aEnd.m_run;
+  const auto isOtherEnd = [&](const EndReport& aOther) {
+    return aOther.m_number != aEnd.m_number && aOther.m_task == aEnd.m_task &&
+           aOther.m_run == aEnd.m_run;
   };
   return Contains(aReport.m_active, aEnd.m_task, aEnd.m_run) ||
-         std::any_of(aReport.m_ended.begin(), aReport.m_ended.end(), isOther);
+         std::any_of(
+           aReport.m_ended.begin(), aReport.m_ended.end(), isOtherEnd);
 }
 
-// The worker was cut off until its lease was over, or had its start taken back.
-// An end that is acknowledged has to count: its task would be done once more.
+// The worker was cut off until its lease had ended, or its start was
+// withdrawn. An acknowledged end has to count, or its task would be done
+// again.
 bool
 IsDoneLate(const jobs::Book& aBook, const EndReport& aEnd)
 {
@@ -83,7 +86,7 @@
   switch (aReason) {
     case Ignored::kOvertaken:
       return "overtaken by a later report";
-    case Ignored::kEnded:
+    case Ignored::kWorkerEnded:
       return "its worker has ended";
     case Ignored::kUnproven:
       return "it may be of an earlier life";
@@ -98,16 +101,16 @@
 }
 
 Duration
-WorkerTable::LongestHold() const
+WorkerTable::MaxLeaseDuration() const
 {
   return m_options.m_lease * (100 + m_options.m_driftPercent) / 100 +
-         m_options.m_margin;
+         m_options.m_killMargin;
 }
 
 bool
 WorkerTable::KnowsAllLeases(TimePoint aNow) const
 {
-  return aNow > m_leaderSince + LongestHold();
+  return aNow > m_leaderSince + MaxLeaseDuration();
 }
 
 const Worker*
@@ -120,8 +123,10 @@
 const Worker*
 WorkerTable::FindByInstance(const InstanceId& aInstance) const
 {
-  const auto found = m_occupants.find(aInstance);
-  return found == m_occupants.end() ? nullptr : Find(found->second.m_life);
+  const auto found = m_currentIncarnations.find(aInstance);
+  return found == m_currentIncarnations.end()
+           ? nullptr
+           : Find(found->second.m_incarnation);
 }
 
 const RunReport*
@@ -145,46 +150,46 @@
                       TimePoint aNow,
                       WallTime aWall)
 {
-  Heard heard;
+  Heard result;
   if (m_retired.Contains(aReport.m_worker)) {
-    heard.m_ignored = Ignored::kEnded;
-    return heard;
+    result.m_ignored = Ignored::kWorkerEnded;
+    return result;
   }
-  // A report that was overtaken shows a state that is gone; its worker has
-  // dropped the connection and will not read the answer.
+  // A stale report shows an outdated state. Its worker has dropped the
+  // connection and will not read the answer.
   const Worker* known = Find(aReport.m_worker);
   if (known != nullptr && aReport.m_sequence <= known->m_last.m_sequence) {
-    heard.m_ignored = Ignored::kOvertaken;
-    return heard;
+    result.m_ignored = Ignored::kOvertaken;
+    return result;
   }
-  const Admission admission = Admit(aReport, aBook, aNow, aWall, heard);
+  const Admission admission = Admit(aReport, aBook, aNow, aWall, result);
   if (admission.m_ignored) {
-    heard.m_ignored = admission.m_ignored;
-    return heard;
+    result.m_ignored = admission.m_ignored;
+    return result;
   }
   const auto [found, isNew] = m_workers.try_emplace(aReport.m_worker);
   Worker& worker = found->second;
   if (isNew) {
     worker.m_firstHeardAt = aNow;
-    worker.m_fitness = admission.m_fitness;
+    worker.m_health = admission.m_health;
     if (!aReport.m_instance.Get().empty()) {
-      m_lives[aReport.m_instance].push_back(aReport.m_worker);
+      m_incarnations[aReport.m_instance].push_back(aReport.m_worker);
     }
-    heard.m_changed = true;
+    result.m_changed = true;
   }
-  // The answer that is about to go out gives a lease. Until it is out the
-  // worker counts as holding one: it would be taken for lost, and what was
-  // just placed on it placed again elsewhere.
-  worker.m_leaseEnd = std::max(worker.m_leaseEnd, aNow + LongestHold());
-  FollowInstance(worker, aReport, aBook, aNow, aWall, heard);
-  heard.m_changed = heard.m_changed || worker.m_silent ||
-                    worker.m_last.m_draining != aReport.m_draining ||
-                    worker.m_last.m_capacity != aReport.m_capacity;
-  const bool hadTrial = HasTrial(worker, aBook);
+  // The answer that is about to be sent grants a lease. The worker counts as
+  // holding it already: otherwise it would be taken for lost before the answer
+  // is sent, and its new runs would be placed again elsewhere.
+  worker.m_leaseEnd = std::max(worker.m_leaseEnd, aNow + MaxLeaseDuration());
+  TrackInstance(worker, aReport, aBook, aNow, aWall, result);
+  result.m_changed = result.m_changed || worker.m_silent ||
+                     worker.m_last.m_draining != aReport.m_draining ||
+                     worker.m_last.m_capacity != aReport.m_capacity;
+  const bool hadIsolatedRun = HasIsolatedRun(worker, aBook);
   worker.m_last = aReport;
   worker.m_heardAt = aNow;
   worker.m_silent = false;
-  worker.m_lostInTrial = false;
+  worker.m_lostInIsolatedRun = false;
   worker.m_evidence.clear();
   for (const RunReport& run : aReport.m_active) {
     if (!IsExpected(aBook, aReport.m_worker, run.m_task, run.m_run)) {
@@ -194,36 +199,38 @@
       m_checkpoints[run.m_task] = run.m_checkpoint;
     }
     if (!IsPlaced(aBook, aReport.m_worker, run.m_task, run.m_run)) {
-      heard.m_adopted.push_back({ run.m_task, run.m_run, aReport.m_worker });
+      result.m_adopted.push_back({ run.m_task, run.m_run, aReport.m_worker });
     }
   }
   CountActive(worker, aBook);
-  heard.m_changed = heard.m_changed || (hadTrial && !HasTrial(worker, aBook));
-  FollowProgress(worker, aNow);
-  TakeEnds(worker, aReport, aBook, aNow, aWall, heard);
-  FindUnstarted(worker, aBook, aNow, aWall, heard);
-  return heard;
+  result.m_changed =
+    result.m_changed || (hadIsolatedRun && !HasIsolatedRun(worker, aBook));
+  TrackProgress(worker, aNow);
+  AcceptEnds(worker, aReport, aBook, aNow, aWall, result);
+  EndLostStarts(worker, aBook, aNow, aWall, result);
+  return result;
 }
 
 void
-WorkerTable::FollowProgress(Worker& aWorker, TimePoint aNow)
+WorkerTable::TrackProgress(Worker& aWorker, TimePoint aNow)
 {
-  std::map<jobs::TaskRef, Progress> progress;
+  std::map<jobs::TaskRef, RunProgress> progress;
   for (const RunReport& run : aWorker.m_last.m_active) {
-    const auto before = aWorker.m_progress.find(run.m_task);
-    const bool stands = before != aWorker.m_progress.end() &&
-                        before->second.m_run == run.m_run &&
-                        before->second.m_percent == run.m_percent;
-    progress[run.m_task] =
-      stands ? before->second : Progress{ run.m_run, run.m_percent, aNow };
+    const auto previous = aWorker.m_progress.find(run.m_task);
+    const bool isUnchanged = previous != aWorker.m_progress.end() &&
+                             previous->second.m_run == run.m_run &&
+                             previous->second.m_percent == run.m_percent;
+    progress[run.m_task] = isUnchanged
+                             ? previous->second
+                             : RunProgress{ run.m_run, run.m_percent, aNow };
   }
   aWorker.m_progress = std::move(progress);
 }
 
-// A worker may hold tasks still while it reports in good health. Their jobs
-// would wait for ever: no lease ends, and nothing fails. Long-running tasks
-// stay at 100, those that fill may be slowed to nothing, and members of a gang
-// wait for each other; so none of these is judged.
+// A worker may stop making progress on its tasks while it still reports as
+// healthy. Their jobs would wait forever, because no lease ends and nothing
+// fails. Long-running tasks stay at 100, best-effort tasks may be slowed to
+// zero, and members of a gang wait for each other, so none of these is checked.
 std::vector<StopOrder>
 WorkerTable::FindStuck(const jobs::Book& aBook, TimePoint aNow)
 {
@@ -242,10 +249,9 @@
       }
       const jobs::StepSpec& step = StepOf(*job, task);
       const Duration onePercent = step.m_estimate / kPercent;
-      const Duration patience =
-        std::max(m_options.m_stuckAfter, 3 * onePercent);
+      const Duration timeout = std::max(m_options.m_stuckAfter, 3 * onePercent);
       if (!step.m_longRunning && !step.m_fills && !step.m_gang &&
-          aNow >= progress.m_since + patience &&
+          aNow >= progress.m_since + timeout &&
           worker.m_heardAt > progress.m_since) {
         stuck.push_back({ task, progress.m_run });
         worker.m_toStop.insert({ task, progress.m_run });
@@ -256,73 +262,75 @@
   return stuck;
 }
 
-// One life of an instance at a time: a later one proves that the one before,
-// and all it ran, has ended. But a report of an early life may arrive after
-// that life has ended; taken for a new life, it would end the runs of a worker
-// that is cut off and runs on, and they would run twice.
+// An instance has one incarnation at a time: a later one proves that the
+// previous one and all its runs have ended. But a report of an early
+// incarnation may arrive after that incarnation has ended. If it were taken
+// for a new one, it would end the runs of a worker that is cut off but still
+// running, and they would run twice.
 void
-WorkerTable::FollowInstance(Worker& aWorker,
-                            const WorkerReport& aReport,
-                            const jobs::Book& aBook,
-                            TimePoint aNow,
-                            WallTime aWall,
-                            Heard& aHeard)
+WorkerTable::TrackInstance(Worker& aWorker,
+                           const WorkerReport& aReport,
+                           const jobs::Book& aBook,
+                           TimePoint aNow,
+                           WallTime aWall,
+                           Heard& aResult)
 {
   if (aReport.m_instance.Get().empty() || aReport.m_worker.SaysStart()) {
     return;
   }
-  const Occupant& occupant =
-    m_occupants
-      .try_emplace(aReport.m_instance, Occupant{ aReport.m_worker, aNow })
+  const CurrentIncarnation& current =
+    m_currentIncarnations
+      .try_emplace(aReport.m_instance,
+                   CurrentIncarnation{ aReport.m_worker, aNow })
       .first->second;
-  if (occupant.m_life == aReport.m_worker) {
+  if (current.m_incarnation == aReport.m_worker) {
     return;
   }
-  const WorkerLife previous = occupant.m_life;
+  const WorkerLife previous = current.m_incarnation;
   const Worker* known = Find(previous);
   const bool isConfirmed =
     known == nullptr || known->m_silent ||
-    (aNow >= aWorker.m_firstHeardAt + m_options.m_confirmLife &&
+    (aNow >= aWorker.m_firstHeardAt + m_options.m_confirmIncarnationAfter &&
      known->m_heardAt < aWorker.m_firstHeardAt);
   if (isConfirmed) {
-    aWorker.m_fitness =
-      Supersede(previous, aReport, aBook, aNow, aWall, aHeard);
-    m_occupants[aReport.m_instance] = { aReport.m_worker, aNow };
+    aWorker.m_health =
+      Supersede(previous, aReport, aBook, aNow, aWall, aResult);
+    m_currentIncarnations[aReport.m_instance] = { aReport.m_worker, aNow };
   }
 }
 
 void
-WorkerTable::TakeEnds(Worker& aWorker,
-                      const WorkerReport& aReport,
-                      const jobs::Book& aBook,
-                      TimePoint aNow,
-                      WallTime aWall,
-                      Heard& aHeard)
+WorkerTable::AcceptEnds(Worker& aWorker,
+                        const WorkerReport& aReport,
+                        const jobs::Book& aBook,
+                        TimePoint aNow,
+                        WallTime aWall,
+                        Heard& aResult)
 {
   for (const EndReport& end : aReport.m_ended) {
-    if (end.m_number <= aWorker.m_takenUpTo) {
+    if (end.m_number <= aWorker.m_acceptedUpTo) {
       const bool isMissed =
         end.m_number <= aWorker.m_ackedUpTo &&
         IsExpected(aBook, aReport.m_worker, end.m_task, end.m_run);
-      aHeard.m_skippedEnds += isMissed ? 1 : 0;
+      aResult.m_skippedEnds += isMissed ? 1 : 0;
       continue;
     }
-    const bool isAllAcked = aWorker.m_takenUpTo == aWorker.m_ackedUpTo;
-    aWorker.m_takenUpTo = end.m_number;
-    // The same start twice, after an answer that seemed lost: the worker
-    // refuses the second, and the run goes on.
+    const bool isAllAcked = aWorker.m_acceptedUpTo == aWorker.m_ackedUpTo;
+    aWorker.m_acceptedUpTo = end.m_number;
+    // The same start was sent twice because its answer seemed lost. The worker
+    // refuses the second one, and the run continues.
     const bool isSecondStart =
-      end.m_how == jobs::RunEnd::kRefused && IsKnownOtherwise(aReport, end);
+      end.m_how == jobs::RunEnd::kRefused && HasOtherReport(aReport, end);
     const bool isLate = IsDoneLate(aBook, end);
     const bool isKept =
       isLate || (!isSecondStart &&
                  IsExpected(aBook, aReport.m_worker, end.m_task, end.m_run));
-    // What leaves nothing to commit is acknowledged at once, but for ends
-    // before it that are.
+    // An end that needs no commit is acknowledged at once, unless earlier ends
+    // still wait for theirs.
     if (!isKept && isAllAcked) {
       aWorker.m_ackedUpTo = end.m_number;
     } else {
-      m_takenFrom.insert(aReport.m_worker);
+      m_withoutReceipt.insert(aReport.m_worker);
     }
     if (isSecondStart) {
       continue;
@@ -335,10 +343,10 @@
     }
     CountOutcome(aWorker, end.m_how, aNow);
     m_checkpoints.erase(end.m_task);
-    aHeard.m_changed = true;
-    aHeard.m_ends.push_back(
+    aResult.m_changed = true;
+    aResult.m_ends.push_back(
       { end.m_task, end.m_run, end.m_how, end.m_checkpoint, aWall });
-    aHeard.m_ends.back().m_isLate = isLate;
+    aResult.m_ends.back().m_isLate = isLate;
   }
 }
 
@@ -346,9 +354,9 @@
 WorkerTable::TakeReceipts()
 {
   std::vector<Receipt> receipts;
-  for (const WorkerLife& id : std::exchange(m_takenFrom, {})) {
+  for (const WorkerLife& id : std::exchange(m_withoutReceipt, {})) {
     if (const Worker* worker = Find(id)) {
-      receipts.push_back({ id, worker->m_takenUpTo });
+      receipts.push_back({ id, worker->m_acceptedUpTo });
     }
   }
   return receipts;
@@ -372,7 +380,7 @@
   for (const Receipt& receipt : aReceipts) {
     const auto found = m_workers.find(receipt.m_worker);
     if (found != m_workers.end()) {
-      found->second.m_takenUpTo = found->second.m_ackedUpTo;
+      found->second.m_acceptedUpTo = found->second.m_ackedUpTo;
     }
   }
 }
@@ -381,24 +389,24 @@
 WorkerTable::CountOutcome(Worker& aWorker, jobs::RunEnd aEnd, TimePoint aNow)
 {
   if (aEnd == jobs::RunEnd::kDone) {
-    aWorker.m_fitness.m_failuresInRow = 0;
+    aWorker.m_health.m_consecutiveFailures = 0;
   } else if (aEnd == jobs::RunEnd::kFailed &&
              m_options.m_mechanisms.Has(Mechanism::kSettingAside) &&
-             ++aWorker.m_fitness.m_failuresInRow >= kFailuresToSetAside) {
-    aWorker.m_fitness.m_setAsideUntil = aNow + kSetAside;
+             ++aWorker.m_health.m_consecutiveFailures >= kFailuresToExclude) {
+    aWorker.m_health.m_excludedUntil = aNow + kExclusionPeriod;
   } else if (aEnd == jobs::RunEnd::kRefused) {
-    aWorker.m_fitness.m_setAsideUntil = std::max(
-      aWorker.m_fitness.m_setAsideUntil, aNow + m_options.m_pauseAfterRefusal);
+    aWorker.m_health.m_excludedUntil = std::max(
+      aWorker.m_health.m_excludedUntil, aNow + m_options.m_pauseAfterRefusal);
   }
 }
 
-// A run that is being stopped holds its room until it ends, also one that the
-// state has placed elsewhere by now.
+// A run that is being stopped reserves its resources until it ends, even if
+// the state has already placed it elsewhere.
 void
 WorkerTable::CountActive(Worker& aWorker, const jobs::Book& aBook) const
 {
   const WorkerReport& report = aWorker.m_last;
-  aWorker.m_activeUse = {};
+  aWorker.m_reservedByActive = {};
   aWorker.m_strayUse = {};
   const auto isExpected = [&](const auto& aRun) {
     return IsPlaced(aBook, report.m_worker, aRun.m_task, aRun.m_run);
@@ -407,25 +415,25 @@
     return isExpected(aEnd) &&
            !Contains(report.m_active, aEnd.m_task, aEnd.m_run);
   };
-  aWorker.m_shownRuns = static_cast<std::size_t>(
+  aWorker.m_reportedRuns = static_cast<std::size_t>(
     std::count_if(report.m_active.begin(), report.m_active.end(), isExpected) +
     std::count_if(report.m_ended.begin(), report.m_ended.end(), isEnded));
   for (const RunReport& run : report.m_active) {
     const jobs::StepSpec* step = FindStep(aBook, run.m_task);
     if (step == nullptr) {
-      aWorker.m_activeUse.m_isUnknown = true;
+      aWorker.m_reservedByActive.m_isUnknown = true;
       aWorker.m_strayUse.m_isUnknown = true;
       continue;
     }
-    aWorker.m_activeUse.Add(*step);
+    aWorker.m_reservedByActive.Add(*step);
     if (!isExpected(run)) {
       aWorker.m_strayUse.Add(*step);
     }
   }
 }
 
-// A worker may report less room after a start was decided; one that does not
-// guard its room would take the start all the same.
+// A worker may report less free capacity after a start was decided. A worker
+// that does not check its capacity would accept the start anyway.
 std::vector<WorkerTable::PendingStart>
 WorkerTable::FindPending(const Worker& aWorker, const jobs::Book& aBook) const
 {
@@ -435,7 +443,7 @@
   if (placed == aBook.Placed().end()) {
     return pending;
   }
-  RoomUse use = aWorker.m_activeUse;
+  RoomUse use = aWorker.m_reservedByActive;
   for (const jobs::TaskRef& ref : placed->second) {
     const RunNumber run = aBook.FindTask(ref)->m_lastRun;
     if (Contains(report.m_active, ref, run) ||
@@ -453,56 +461,56 @@
   return pending;
 }
 
-// A start that was sent and that no report shows, long after, was lost with its
-// answer. Where the run is not wanted there, or has no room, this frees its
-// place; the others are simply sent again. Without it a task whose start was
-// lost on a draining worker would wait for that worker's end. The next report
-// alone says nothing: one that tells of draining is sent while an answer is
-// under way, and the run that starts with that answer would run a second time
-// elsewhere.
+// A start that no report shows long after it was sent was lost together with
+// its answer. If the run is no longer wanted there, or does not fit, its
+// reservation is released; other starts are simply sent again. Without this, a
+// task whose start was lost on a draining worker would wait until that worker
+// ends. The next report alone proves nothing: one that announces draining is
+// sent while an answer is under way, and a run that starts with that answer
+// would run a second time elsewhere.
 void
-WorkerTable::FindUnstarted(Worker& aWorker,
+WorkerTable::EndLostStarts(Worker& aWorker,
                            const jobs::Book& aBook,
                            TimePoint aNow,
                            WallTime aWall,
-                           Heard& aHeard)
+                           Heard& aResult)
 {
   const auto placed = aBook.Placed().find(aWorker.m_last.m_worker);
   if (placed == aBook.Placed().end() ||
-      placed->second.size() == aWorker.m_shownRuns) {
+      placed->second.size() == aWorker.m_reportedRuns) {
     return;
   }
   for (const PendingStart& start : FindPending(aWorker, aBook)) {
     const jobs::TaskRef& ref = start.m_task;
-    const bool wanted = start.m_job->m_state == jobs::JobState::kActive &&
-                        !aWorker.m_last.m_draining && start.m_fits;
-    if (wanted) {
+    const bool isWanted = start.m_job->m_state == jobs::JobState::kActive &&
+                          !aWorker.m_last.m_draining && start.m_fits;
+    if (isWanted) {
       continue;
     }
     const auto sent = aWorker.m_sentAt.find(ref);
     const TimePoint since =
       sent == aWorker.m_sentAt.end() ? m_leaderSince : sent->second;
-    const bool settled = aNow >= since + m_options.m_lateReports;
-    if (settled) {
+    const bool isLostStart = aNow >= since + m_options.m_lateReports;
+    if (isLostStart) {
       aWorker.m_sentAt.erase(ref);
-      aHeard.m_changed = true;
-      aHeard.m_ends.push_back(
+      aResult.m_changed = true;
+      aResult.m_ends.push_back(
         { ref, start.m_run, jobs::RunEnd::kStopped, "", aWall });
     }
   }
 }
 
 bool
-WorkerTable::IsAtWork(const jobs::TaskRef& aTask,
-                      const jobs::Task& aState,
-                      TimePoint aNow) const
+WorkerTable::IsReady(const jobs::TaskRef& aTask,
+                     const jobs::Task& aState,
+                     TimePoint aNow) const
 {
   if (aState.m_phase != jobs::TaskPhase::kRunning) {
     return false;
   }
   const Worker* worker = Find(aState.m_worker);
   const RunReport* run = FindRun(aTask, aState);
-  return run != nullptr && run->m_percent >= kAtWorkPercent &&
+  return run != nullptr && run->m_percent >= kReadyPercent &&
          !IsInDoubt(*worker, aNow) &&
          !worker->m_toStop.contains({ aTask, aState.m_lastRun });
 }
@@ -518,13 +526,14 @@
   }
   const auto& occurrence = aJob.m_occurrences.at(aTask.m_occurrence);
   const auto& tasks = occurrence.m_steps[aTask.m_step].m_tasks;
-  std::uint32_t away = 0;
+  std::uint32_t unavailable = 0;
   for (std::uint32_t i = 0; i < tasks.size(); ++i) {
     jobs::TaskRef other = aTask;
     other.m_index = i;
-    away += i != aTask.m_index && !IsAtWork(other, tasks[i], aNow) ? 1 : 0;
+    unavailable +=
+      i != aTask.m_index && !IsReady(other, tasks[i], aNow) ? 1 : 0;
   }
-  return away < *budget;
+  return unavailable < *budget;
 }
 
 bool
--- a/tests/unit/placement/crash_loops_test.cpp
+++ b/tests/unit/placement/crash_loops_test.cpp
@@ -13,12 +13,15 @@
 namespace {
 
 constexpr Millis kMinute{ 60'000 };
-/** What could run must have started again by then, once all is quiet. */
-constexpr Millis kRunsWithin{ 14'000 };
-/** The silence of two lost workers, and some seconds for the work itself. */
-constexpr Millis kSoundWithin{ 15'000 };
-/** The bound of the service: a third start after three crashes breaks it. */
-constexpr std::uint32_t kMostStartsAfterThreeCrashes = 2;
+/** Time within which every task that can run must have started again after the
+ * last loss. */
+constexpr Millis kRestartWithin{ 14'000 };
+/** Time for two lost workers to be noticed, and some seconds for the work
+ * itself. */
+constexpr Millis kHealthyWithin{ 15'000 };
+/** Maximum starts of a task after three crashes; a third start exceeds the
+ * service's bound. */
+constexpr std::uint32_t kMaxStartsAfterThreeCrashes = 2;
 
 JobSpec
 Crashing(const char* aWhich, std::vector<StepSpec> aSteps)
@@ -45,7 +48,7 @@
 }
 
 void
-CheckSoundJobsComplete(const PoolOptions& aOptions)
+CheckHealthyJobsComplete(const PoolOptions& aOptions)
 {
   SimulatedPool pool{ aOptions };
   for (int i = 0; i < 100; ++i) {
@@ -63,12 +66,13 @@
 {
   SimulatedPool m_pool;
 
-  /** Sound jobs for half a minute, with a crashing one among each aOf. */
-  static void SubmitMixed(SimulatedPool & aPool, int aOf)
+  /** Submits healthy jobs for half a minute, with one crashing job per
+   * aHealthyPerCrashing of them. */
+  static void SubmitMixed(SimulatedPool & aPool, int aHealthyPerCrashing)
   {
     for (int i = 0; i < 200; ++i) {
       aPool.Submit("job" + std::to_string(i), Spec({ Step(6) }));
-      if (aOf > 0 && i % aOf == 0) {
+      if (aHealthyPerCrashing > 0 && i % aHealthyPerCrashing == 0) {
         aPool.Submit("bad" + std::to_string(i),
                      Crashing(kCrashFirst, { Step(6) }));
       }
@@ -84,15 +88,16 @@
     return options;
   }
 
-  /** Half a minute of jobs that take four seconds; a worker crashes as often.
-   */
-  static void SubmitLongerBesideCrashes(SimulatedPool & aPool, bool aHasBad)
+  /** Submits jobs of four seconds for half a minute, and crashes a worker
+   * every four seconds. */
+  static void SubmitLongJobsDuringCrashes(SimulatedPool & aPool,
+                                          bool aHasCrashing)
   {
     StepSpec step = Step(10, 500);
     step.m_estimate = Millis{ 4'000 };
     for (std::uint32_t i = 0; i < 70; ++i) {
       aPool.Submit("job" + std::to_string(i), Spec({ step }));
-      if (aHasBad && i % 30 == 2) {
+      if (aHasCrashing && i % 30 == 2) {
         aPool.Submit("bad" + std::to_string(i),
                      Crashing(kCrashFirst, { step }));
       }
@@ -103,7 +108,7 @@
     }
   }
 
-  /** Four workers that share a rack. */
+  /** Crashes four workers that share a rack. */
   static void LoseRack(SimulatedPool & aPool, std::minstd_rand & aRandom)
   {
     const std::uint32_t first = aRandom() % 8;
@@ -112,59 +117,58 @@
     }
   }
 
-  void CheckGivenUp(const std::string& aJob)
+  void CheckJobFailed(const std::string& aJob)
   {
     CHECK_COMPARE(
-      m_pool.MostStartsAfterThreeCrashes(), <=, kMostStartsAfterThreeCrashes);
+      m_pool.MostStartsAfterThreeCrashes(), <=, kMaxStartsAfterThreeCrashes);
     STRCMP_EQUAL("failed", Describe(m_pool.StateOf(aJob)));
   }
 };
 
-// Callers of other queues see refusals and failures while one task takes a
-// worker down every five seconds. Each crash ended its run as "worker lost",
-// which counted as nobody's fault, and the task waited again at once, without
-// a limit. The log showed it: 20 runs of one task, each lost with its worker,
-// about a lease apart, across two leaders.
-TEST(CrashLoops, TaskCrashesEveryWorker_JobIsGivenUp)
+// Guards against one task that crashes a worker every five seconds while other
+// queues see refusals and failures. Each crash ended its run as "worker lost",
+// which counted as no task's failure, and the task was queued again without a
+// limit: 20 runs of one task were lost with their workers, about a lease
+// apart, across two leaders.
+TEST(CrashLoops, TaskCrashesEveryWorker_JobFails)
 {
   m_pool.Submit("bad", Crashing(kCrashFirst, { Step(6) }));
   m_pool.Pass(kMinute);
-  CheckGivenUp("bad");
+  CheckJobFailed("bad");
 }
 
-// Guards against counts that are lost with the leader that made them.
-TEST(CrashLoops, LeaderReplacedBetweenCrashes_JobIsGivenUp)
+// Guards against counts that are lost with the leader that kept them.
+TEST(CrashLoops, LeaderReplacedBetweenCrashes_JobFails)
 {
   m_pool.Submit("bad", Crashing(kCrashFirst, { Step(1) }));
   for (int i = 0; i < 20; ++i) {
     m_pool.Pass(Millis{ 7'000 });
     m_pool.ReplaceLeader(Millis{ 1'000 });
   }
-  CheckGivenUp("bad");
+  CheckJobFailed("bad");
 }
 
-// Guards against the same loop by way of tasks that are restarted however they
-// end.
-TEST(CrashLoops, LongRunningTaskCrashesEveryWorker_JobIsGivenUp)
+// Guards against a crash loop of a long-running task, which is restarted
+// however it ends.
+TEST(CrashLoops, LongRunningTaskCrashesEveryWorker_JobFails)
 {
   m_pool.Submit("bad", Crashing(kCrashFirst, { LongRunning(3) }));
   m_pool.Pass(kMinute);
-  CheckGivenUp("bad");
+  CheckJobFailed("bad");
 }
 
-// Guards against the same loop by way of a gang, which starts anew as a whole.
-TEST(CrashLoops, MemberOfGangCrashesEveryWorker_JobIsGivenUp)
+// Guards against a crash loop of a gang, which restarts as a whole.
+TEST(CrashLoops, MemberOfGangCrashesEveryWorker_JobFails)
 {
   m_pool.Submit("bad", Crashing(kCrashFirst, { Gang(4) }));
   m_pool.Submit("worse", Crashing(kCrashAll, { Gang(4) }));
   m_pool.Pass(kMinute);
-  CheckGivenUp("bad");
-  CheckGivenUp("worse");
+  CheckJobFailed("bad");
+  CheckJobFailed("worse");
 }
 
-// Guards against the same loop by way of occurrences, each with tasks of its
-// own.
-TEST(CrashLoops, EachOccurrenceCrashesItsWorker_JobIsGivenUp)
+// Guards against a crash loop of occurrences, each with tasks of its own.
+TEST(CrashLoops, EachOccurrenceCrashesItsWorker_JobFails)
 {
   JobSpec spec = Crashing(kCrashFirst, { Step(1) });
   spec.m_repeatCount = 10;
@@ -172,12 +176,13 @@
   spec.m_interval = Millis{ 4'000 };
   m_pool.Submit("bad", spec);
   m_pool.Pass(kMinute);
-  CheckGivenUp("bad");
+  CheckJobFailed("bad");
 }
 
-// Guards against sound jobs that are given up for what took their workers: a
-// rack that goes dark again and again, and workers that are cut off and live.
-TEST(CrashLoops, WorkersAreLostUnderSoundJobs_NoneIsGivenUp)
+// Guards against healthy jobs that fail because of what took their workers: a
+// rack that is lost again and again, and workers that are cut off but still
+// running.
+TEST(CrashLoops, WorkersAreLostUnderHealthyJobs_NoJobFails)
 {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     PoolOptions options;
@@ -201,20 +206,21 @@
   }
 }
 
-// Guards against sound jobs that are given up for a worker that crashes under
-// whatever it starts: it is back every few seconds, and always the emptiest.
-TEST(CrashLoops, WorkerCrashesUnderAnything_NoJobIsGivenUp)
+// Guards against healthy jobs that fail because of a worker that crashes under
+// any task it starts: it returns every few seconds and always has the most
+// free capacity.
+TEST(CrashLoops, WorkerCrashesUnderAnyTask_NoJobFails)
 {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     PoolOptions options;
     options.m_seed = seed;
     options.m_faultyWorker = seed;
-    CheckSoundJobsComplete(options);
+    CheckHealthyJobsComplete(options);
   }
 }
 
-// Guards against a task that waits for ever for another instance, where only
-// one may run it.
+// Guards against a task that waits forever for another instance when only one
+// instance is large enough for it.
 TEST(CrashLoops, OnlyOneWorkerIsLargeEnough_TaskIsTriedThereAgain)
 {
   for (std::uint32_t w = 1; w < PoolOptions{}.m_workers; ++w) {
@@ -229,9 +235,9 @@
   STRCMP_EQUAL("completed", Describe(m_pool.StateOf("large")));
 }
 
-// Guards against a bound that only holds where each crash can be told from
-// other losses: racks, cuts and changes of the leader come in between.
-TEST(CrashLoops, CrashesAmongOtherLosses_BoundHoldsAndSoundJobsComplete)
+// Guards against a bound that holds only if each crash can be distinguished
+// from other losses: racks, cuts and leader changes come in between.
+TEST(CrashLoops, CrashesAmongOtherLosses_BoundHoldsAndHealthyJobsComplete)
 {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     PoolOptions options;
@@ -257,31 +263,32 @@
     }
     pool.Pass(kMinute);
     CHECK_COMPARE(
-      pool.MostStartsAfterThreeCrashes(), <=, kMostStartsAfterThreeCrashes);
+      pool.MostStartsAfterThreeCrashes(), <=, kMaxStartsAfterThreeCrashes);
     LONGS_EQUAL(10, pool.CountJobs(JobState::kFailed));
     LONGS_EQUAL(60, pool.CountJobs(JobState::kCompleted));
   }
 }
 
-// Guards against one kind of job that takes a pool from all the others: beside
-// one crashing job among twenty, sound ones are served nearly as without them.
-TEST(CrashLoops, ShareOfJobsCrashesWorkers_SoundJobsKeepTheirLevel)
+// Guards against one kind of job that takes a pool from all others: with one
+// crashing job in twenty, healthy jobs complete nearly as fast as without it.
+TEST(CrashLoops, ShareOfJobsCrashesWorkers_HealthyJobsKeepTheirThroughput)
 {
-  constexpr std::size_t kLeastPercent = 90;
-  SimulatedPool clean;
-  SubmitMixed(clean, 0);
+  constexpr std::size_t kMinPercent = 90;
+  SimulatedPool baseline;
+  SubmitMixed(baseline, 0);
   SubmitMixed(m_pool, 20);
-  const std::size_t alone = clean.CountJobs(JobState::kCompleted);
-  const std::size_t beside = m_pool.CountJobs(JobState::kCompleted);
-  CHECK_COMPARE(beside * 100, >=, alone * kLeastPercent);
+  const std::size_t withoutCrashing = baseline.CountJobs(JobState::kCompleted);
+  const std::size_t withCrashing = m_pool.CountJobs(JobState::kCompleted);
+  CHECK_COMPARE(withCrashing * 100, >=, withoutCrashing * kMinPercent);
   m_pool.Pass(kMinute);
   LONGS_EQUAL(200, m_pool.CountJobs(JobState::kCompleted));
   LONGS_EQUAL(10, m_pool.CountJobs(JobState::kFailed));
   CHECK_COMPARE(m_pool.CrashesByTasks(), <=, 10 * 4);
 }
 
-// Guards against tasks that are shown at work before they crash their worker.
-TEST(CrashLoops, TaskCrashesItsWorkerLater_JobIsGivenUp)
+// Guards against tasks that are reported as active before they crash their
+// worker.
+TEST(CrashLoops, TaskCrashesItsWorkerLater_JobFails)
 {
   PoolOptions options;
   options.m_crashAfter = Millis{ 700 };
@@ -289,11 +296,11 @@
   pool.Submit("bad", Crashing(kCrashFirst, { Step(6) }));
   pool.Pass(kMinute);
   CHECK_COMPARE(
-    pool.MostStartsAfterThreeCrashes(), <=, kMostStartsAfterThreeCrashes);
+    pool.MostStartsAfterThreeCrashes(), <=, kMaxStartsAfterThreeCrashes);
   STRCMP_EQUAL("failed", Describe(pool.StateOf("bad")));
 }
 
-/** Workers that crash are back under the ids that they had. */
+/** Workers that crash return with the ids that they had. */
 TEST_GROUP(CrashLoopsWithKeptIds){
   static PoolOptions KeptIds(unsigned aSeed = 1){ PoolOptions options;
 options.m_seed = aSeed;
@@ -302,17 +309,17 @@
 }
 
 static void
-CheckGivenUp(SimulatedPool& aPool)
+CheckJobFailed(SimulatedPool& aPool)
 {
   CHECK_COMPARE(
-    aPool.MostStartsAfterThreeCrashes(), <=, kMostStartsAfterThreeCrashes);
+    aPool.MostStartsAfterThreeCrashes(), <=, kMaxStartsAfterThreeCrashes);
   STRCMP_EQUAL("failed", Describe(aPool.StateOf("bad")));
 }
 }
 ;
 
-// Guards against a crash loop without an end where a crash shows by no new id.
-TEST(CrashLoopsWithKeptIds, TaskCrashesEveryWorker_JobIsGivenUp)
+// Guards against an endless crash loop where no new worker id reveals a crash.
+TEST(CrashLoopsWithKeptIds, TaskCrashesEveryWorker_JobFails)
 {
   for (const std::int64_t restart : { 200, 500, 2'500, 6'000 }) {
     PoolOptions options = KeptIds();
@@ -320,22 +327,22 @@
     SimulatedPool pool{ options };
     pool.Submit("bad", Crashing(kCrashFirst, { Step(6) }));
     pool.Pass(kMinute);
-    CheckGivenUp(pool);
+    CheckJobFailed(pool);
   }
 }
 
-TEST(CrashLoopsWithKeptIds, LongRunningTaskOrGang_JobIsGivenUp)
+TEST(CrashLoopsWithKeptIds, LongRunningTaskOrGang_JobFails)
 {
   for (const StepSpec& step : { LongRunning(3), Gang(4) }) {
     SimulatedPool pool{ KeptIds() };
     pool.Submit("bad", Crashing(kCrashFirst, { step }));
     pool.Pass(kMinute);
-    CheckGivenUp(pool);
+    CheckJobFailed(pool);
   }
 }
 
 // Guards against evidence that is lost with the leader that saw the crash.
-TEST(CrashLoopsWithKeptIds, LeaderReplacedBetweenCrashes_JobIsGivenUp)
+TEST(CrashLoopsWithKeptIds, LeaderReplacedBetweenCrashes_JobFails)
 {
   SimulatedPool pool{ KeptIds() };
   pool.Submit("bad", Crashing(kCrashFirst, { Step(1) }));
@@ -343,34 +350,36 @@
     pool.Pass(Millis{ 7'000 });
     pool.ReplaceLeader(Millis{ 1'000 });
   }
-  CheckGivenUp(pool);
+  CheckJobFailed(pool);
 }
 
-// Guards against sound jobs that are given up for a worker that crashes under
-// whatever it starts, and is back under its id.
-TEST(CrashLoopsWithKeptIds, WorkerCrashesUnderAnything_NoJobIsGivenUp)
+// Guards against healthy jobs that fail because of a worker that crashes under
+// any task it starts and returns with the same id.
+TEST(CrashLoopsWithKeptIds, WorkerCrashesUnderAnyTask_NoJobFails)
 {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     PoolOptions options = KeptIds(seed);
     options.m_faultyWorker = seed;
-    CheckSoundJobsComplete(options);
+    CheckHealthyJobsComplete(options);
   }
 }
 
-// Guards against runs that go to two lives, ends that are not believed, and
-// workers that get no work any more, at any moment of a restart: crashes within
-// and after a lease, cuts, late reports of earlier lives, changes of the
-// leader.
+// Guards against runs that go to two incarnations, ends that are not accepted,
+// and workers that get no more work, at any moment of a restart: crashes
+// within and after a lease, cuts, delayed reports of earlier incarnations, and
+// leader changes.
 TEST(CrashLoopsWithKeptIds, RestartsAtAnyMoment_NothingRunsTwiceAndAllComplete)
 {
   for (unsigned seed = 1; seed <= 40; ++seed) {
     SimulatedPool pool{ KeptIds(seed) };
     std::minstd_rand random{ seed };
-    const auto any = [&]() { return random() % PoolOptions{}.m_workers; };
+    const auto randomWorker = [&]() {
+      return random() % PoolOptions{}.m_workers;
+    };
     for (int i = 0; i < 80; ++i) {
       pool.Submit("job" + std::to_string(i), Spec({ Step(4), Step(3, 2000) }));
       pool.Pass(Millis{ 200 + random() % 300 });
-      const std::uint32_t worker = any();
+      const std::uint32_t worker = randomWorker();
       if (random() % 2 == 0) {
         pool.DelayReport(worker, Millis{ random() % 3'000 });
       }
@@ -378,7 +387,7 @@
         pool.CrashWorker(worker, Millis{ 50 + random() % 5'500 });
       }
       if (random() % 10 == 0) {
-        pool.CutWorker(any(), Millis{ random() % 7'000 });
+        pool.CutWorker(randomWorker(), Millis{ random() % 7'000 });
       }
       if (random() % 20 == 0) {
         pool.ReplaceLeader(Millis{ 500 + random() % 1'500 });
@@ -390,9 +399,9 @@
   }
 }
 
-// Guards against sound jobs that are given up where a rack is back within a
-// second: the workers that went with it do not look silent yet.
-TEST(CrashLoopsWithKeptIds, RackIsBackWithinASecond_NoJobIsGivenUp)
+// Guards against healthy jobs that fail when a rack returns within a second:
+// the workers that were lost with it do not count as unresponsive yet.
+TEST(CrashLoopsWithKeptIds, RackIsBackWithinASecond_NoJobFails)
 {
   for (unsigned seed = 41; seed <= 60; ++seed) {
     SimulatedPool pool{ KeptIds(seed) };
@@ -414,7 +423,8 @@
   }
 }
 
-// Guards against the same for gangs, occurrences and long-running tasks.
+// Guards against failed jobs and duplicate runs for gangs, occurrences and
+// long-running tasks.
 TEST(CrashLoopsWithKeptIds, RestartsUnderEveryKindOfStep_NothingRunsTwice)
 {
   for (unsigned seed = 1; seed <= 20; ++seed) {
@@ -445,21 +455,21 @@
   }
 }
 
-// Guards against tasks that wait for a trial while most of their pool is idle:
-// workers crashed beside them, one at a time, and trials come one after
-// another.
-TEST(CrashLoops, ManyTasksWereBesideCrashes_AllRunOnceWorkersStayUp)
+// Guards against tasks that wait for an isolated run while most of their pool
+// is idle: workers that ran them crashed one at a time, and isolated runs
+// happen one after another.
+TEST(CrashLoops, ManyTasksOnCrashedWorkers_AllRunOnceWorkersStayUp)
 {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     SimulatedPool pool{ SmallPool(seed) };
-    SubmitLongerBesideCrashes(pool, false);
-    pool.Pass(kRunsWithin);
+    SubmitLongJobsDuringCrashes(pool, false);
+    pool.Pass(kRestartWithin);
     LONGS_EQUAL(70, pool.CountJobs(JobState::kCompleted));
   }
 }
 
-// Guards against sound tasks that wait behind the trials of those that crash
-// their workers: in a small pool there was always another one to try first.
+// Guards against healthy tasks that wait behind the isolated runs of crashing
+// tasks: a small pool always had another crashing task to try first.
 TEST(CrashLoops, SeveralCrashingTasksInASmallPool_SoundJobsWaitForSeconds)
 {
   for (unsigned seed = 1; seed <= 10; ++seed) {
@@ -478,27 +488,27 @@
       pool.Pass(Millis{ 250 });
     }
     const std::string name = "seed " + std::to_string(seed);
-    pool.Pass(kSoundWithin);
+    pool.Pass(kHealthyWithin);
     LONGS_EQUAL_TEXT(40, pool.CountJobs(JobState::kCompleted), name.c_str());
     pool.Pass(kMinute);
     LONGS_EQUAL_TEXT(5, pool.CountJobs(JobState::kFailed), name.c_str());
     CHECK_COMPARE(
-      pool.MostStartsAfterThreeCrashes(), <=, kMostStartsAfterThreeCrashes);
+      pool.MostStartsAfterThreeCrashes(), <=, kMaxStartsAfterThreeCrashes);
   }
 }
 
-// Guards against a bound that is lost where suspects are tried together: among
-// them are some that crash their workers late.
+// Guards against a bound that fails when suspects run isolated together and
+// some of them crash their workers late.
 TEST(CrashLoops, LateCrashesAmongManySuspects_BoundHolds)
 {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     PoolOptions options = SmallPool(seed);
     options.m_crashAfter = Millis{ 700 };
     SimulatedPool pool{ options };
-    SubmitLongerBesideCrashes(pool, true);
+    SubmitLongJobsDuringCrashes(pool, true);
     pool.Pass(2 * kMinute);
     CHECK_COMPARE(
-      pool.MostStartsAfterThreeCrashes(), <=, kMostStartsAfterThreeCrashes);
+      pool.MostStartsAfterThreeCrashes(), <=, kMaxStartsAfterThreeCrashes);
     LONGS_EQUAL(3, pool.CountJobs(JobState::kFailed));
     LONGS_EQUAL(70, pool.CountJobs(JobState::kCompleted));
   }
--- a/tests/unit/placement/ended_lives_test.cpp
+++ b/tests/unit/placement/ended_lives_test.cpp
@@ -6,30 +6,31 @@
 
 using namespace bamboostile;
 using namespace job_fixtures;
-using placement::EndedLives;
+using placement::EndedIncarnations;
 
-TEST_GROUP(EndedLives)
+TEST_GROUP(EndedIncarnations)
 {
-  EndedLives m_lives;
+  EndedIncarnations m_incarnations;
 };
 
 // Guards against a leader whose memory grows with each restart and move.
-TEST(EndedLives, MoreThanTheBound_OldestIsForgotten)
+TEST(EndedIncarnations, MoreThanTheBound_OldestIsRemoved)
 {
-  const auto count = static_cast<std::int64_t>(EndedLives::kMost);
+  const auto count =
+    static_cast<std::int64_t>(EndedIncarnations::kMaxIncarnations);
   for (std::int64_t at = 1; at <= count + 1; ++at) {
-    m_lives.Add(Life("w", at));
+    m_incarnations.Add(Life("w", at));
   }
-  LONGS_EQUAL(count, m_lives.All().size());
-  CHECK(!m_lives.Contains(Life("w", 1)));
-  CHECK(m_lives.Contains(Life("w", count + 1)));
+  LONGS_EQUAL(count, m_incarnations.All().size());
+  CHECK(!m_incarnations.Contains(Life("w", 1)));
+  CHECK(m_incarnations.Contains(Life("w", count + 1)));
 }
 
-TEST(EndedLives, RemovedAndAddedAgain_IsKept)
+TEST(EndedIncarnations, RemovedAndAddedAgain_IsKept)
 {
-  m_lives.Add(Life("w", 1));
-  m_lives.Remove(Life("w", 1));
-  CHECK(!m_lives.Contains(Life("w", 1)));
-  m_lives.Add(Life("w", 1));
-  CHECK(m_lives.Contains(Life("w", 1)));
+  m_incarnations.Add(Life("w", 1));
+  m_incarnations.Remove(Life("w", 1));
+  CHECK(!m_incarnations.Contains(Life("w", 1)));
+  m_incarnations.Add(Life("w", 1));
+  CHECK(m_incarnations.Contains(Life("w", 1)));
 }
--- a/tests/unit/placement/two_lives_test.cpp
+++ b/tests/unit/placement/two_lives_test.cpp
@@ -17,32 +17,33 @@
 
 } // namespace
 
-/** An instance crashed and is back: its next life reports, and the lease of the
- * one before is not over yet. */
-TEST_GROUP(TwoLives)
+/** An instance crashed and returned: its next incarnation reports while the
+ * lease of the previous one has not ended. */
+TEST_GROUP(TwoIncarnations)
 {
   Fleet m_fleet;
   placement::WorkerTable m_table{ LeaseOptions{}, At(0) };
 
   void setup() override
   {
-    Hear("before", kLater);
-    Hear("next", kLater + 500);
+    Receive("before", kLater);
+    Receive("next", kLater + 500);
   }
 
-  void Hear(const std::string& aLife, std::int64_t aAtMs)
+  void Receive(const std::string& aIncarnation, std::int64_t aAtMs)
   {
-    WorkerReport report = Report(aLife, static_cast<std::uint64_t>(aAtMs));
+    WorkerReport report =
+      Report(aIncarnation, static_cast<std::uint64_t>(aAtMs));
     report.m_instance = InstanceId{ "i" };
     m_table.OnReport(report, m_fleet.Book(), At(aAtMs), WallTime{ 0 });
   }
 
-  void StartLongRunningOn(const std::string& aLife)
+  void StartLongRunningOn(const std::string& aIncarnation)
   {
     StepSpec step = Step(1);
     step.m_longRunning = true;
     m_fleet.Submit("lasting", Spec({ step }));
-    m_fleet.Start(Ref("lasting"), aLife);
+    m_fleet.Start(Ref("lasting"), aIncarnation);
   }
 
   std::size_t OrdersOfWaveAt(std::int64_t aAtMs)
@@ -58,11 +59,11 @@
   }
 };
 
-// The operator sees two long-running tasks of a step away at once. They had
-// just been started on the next life, while the one before was held for the
-// instance's worker: idle, and free to be ordered away. The log showed the move
-// of an instance 0.7 s after its next life was heard.
-TEST(TwoLives, EarlierLifeIsIdle_InstanceIsNotMoved)
+// Guards against two long-running tasks of a step that are unavailable at
+// once. They had just been started on the next incarnation, while the previous
+// one, idle and free to be moved, still counted as the instance's worker: the
+// instance was moved 0.7 s after the first report of its next incarnation.
+TEST(TwoIncarnations, EarlierIncarnationIsIdle_InstanceIsNotMoved)
 {
   StartLongRunningOn("next");
   for (int i = 0; i < 6; ++i) {
@@ -90,18 +91,18 @@
   }
 }
 
-TEST(TwoLives, EarlierLifeIsIdle_WaveWaits)
+TEST(TwoIncarnations, EarlierIncarnationIsIdle_WaveWaits)
 {
   LONGS_EQUAL(0, OrdersOfWaveAt(kLater + 600));
 }
 
-TEST(TwoLives, NextLifeIsConfirmed_WaveGoesOn)
+TEST(TwoIncarnations, NextIncarnationIsConfirmed_WaveContinues)
 {
-  Hear("next", kLater + 1700);
+  Receive("next", kLater + 1700);
   LONGS_EQUAL(1, OrdersOfWaveAt(kLater + 1700));
 }
 
-TEST(TwoLives, EarlierLife_GetsNoTasks)
+TEST(TwoIncarnations, EarlierIncarnation_GetsNoTasks)
 {
   Planner planner;
   m_fleet.Submit("a", Spec({ Step(8) }));
@@ -113,10 +114,10 @@
   }
 }
 
-// A task waits for a whole lease on a worker that is gone: the platform took
-// the order after another life had been heard, and only the life that the order
-// was aimed at was held for ended.
-TEST(TwoLives, OrderIsTaken_EndsAllLivesHeardBefore)
+// Guards against a task that waits for a whole lease on a worker that has
+// ended: the platform accepted an order after another incarnation had
+// reported, and only the addressed incarnation counted as ended.
+TEST(TwoIncarnations, OrderIsAccepted_EndsAllEarlierIncarnations)
 {
   StartLongRunningOn("next");
   const auto ends = m_table.RetireInstance(
@@ -125,8 +126,9 @@
   CHECK(m_table.Workers().empty());
 }
 
-// Guards against the end of a life that began after the order was obeyed.
-TEST(TwoLives, OrderIsTaken_LaterLifeGoesOn)
+// Guards against ending an incarnation that began after the order was
+// executed.
+TEST(TwoIncarnations, OrderIsAccepted_LaterIncarnationContinues)
 {
   const auto ends = m_table.RetireInstance(
     Life("before"), At(kLater + 400), m_fleet.Book(), WallTime{ 0 });
