--- a/include/bamboostile/request/engine.h
+++ b/include/bamboostile/request/engine.h
@@ -10,12 +10,12 @@
 struct Options
 {
   routing::Options m_routing;
-  /** After a lease ran out, requests wait this long for the next leader
-   * before they are refused. */
-  Duration m_leaseGrace = Millis{ 3000 };
-  /** How long a refusal may wait to be put on record. */
-  Duration m_recordPatience = Millis{ 500 };
-  Duration m_watchInterval = Millis{ 50 };
+  /** Time from the end of a lease during which requests wait for the next
+   * leader before they are refused. */
+  Duration m_leaseGracePeriod = Millis{ 3000 };
+  /** Longest wait for a refusal to be recorded. */
+  Duration m_recordTimeout = Millis{ 500 };
+  Duration m_recordPollInterval = Millis{ 50 };
   std::uint32_t m_maxAttempts = 3;
 };
 
@@ -28,13 +28,13 @@
 };
 
 /**
- * @brief Every decision about a caller's request between its arrival and its
- * final answer, without input or output.
+ * @brief Makes all decisions about a caller's request between its arrival and
+ * its final answer; performs no I/O.
  *
- * It decides whether to take a request, when and where to try it, whether to
- * try again, and what may truthfully be said to the caller. A caller is told
- * "not run" only if this entry sent no byte and never will, and, for a
- * request that must not run twice, only once no copy elsewhere can run either.
+ * Decides on admission, on the time and upstream of each attempt, on retries
+ * and on the outcome reported to the caller. It reports "not run" only if this
+ * entry sent no byte and never will, and, for a request that is not
+ * idempotent, only once no copy elsewhere can run either.
  */
 class Engine
 {
@@ -42,8 +42,8 @@
   Engine(Options aOptions, outcome::EntryId aSelf, ZoneId aZone);
 
   void OnView(const fleet::View& aView, TimePoint aNow);
-  /** aUntil is the end of the lease; position and count say which of the
-   * live entries this is. */
+  /** aUntil is the end of the lease; aPosition is the position of this entry
+   * among the aCount live entries. */
   void OnLease(TimePoint aUntil,
                std::uint32_t aPosition,
                std::uint32_t aCount,
@@ -51,11 +51,11 @@
   void OnArrival(Arrival aArrival, TimePoint aNow);
   void OnBegin(LocalId aLocal, const BeginResult& aResult, TimePoint aNow);
   void OnAttempt(LocalId aLocal,
-                 std::uint32_t aNumber,
+                 std::uint32_t aAttemptNumber,
                  const AttemptResult& aResult,
                  TimePoint aNow);
   void Tick(TimePoint aNow);
-  /** Takes nothing new from now on; what is here is finished. */
+  /** Refuses new requests; accepted requests are finished. */
   void Drain() { m_draining = true; }
 
   std::vector<Action> TakeActions();
@@ -68,7 +68,7 @@
   bool HasLease(TimePoint aNow) const { return aNow < m_leaseUntil; }
   const fleet::Instance* Find(const InstanceId& aInstance) const;
 
-  /** Work under way at instances that get nothing new. */
+  /** Attempts in flight per instance that takes no new work. */
   std::vector<std::pair<InstanceId, std::uint32_t>> Leftovers() const;
 
 private:
@@ -76,7 +76,7 @@
   {
     kRecording,
     kRefusing,
-    kWatching,
+    kAwaitingRecord,
     kQueued,
     kRunning,
   };
@@ -85,14 +85,14 @@
   {
     Arrival m_arrival;
     Phase m_phase = Phase::kQueued;
-    bool m_mayRepeat = true;
+    bool m_isIdempotent = true;
     bool m_recorded = false;
-    bool m_sentBefore = false;
+    bool m_mayHaveRun = false;
     std::uint64_t m_ticket = 0;
     std::uint32_t m_attempts = 0;
     TimePoint m_arrivedAt;
     TimePoint m_deadline;
-    TimePoint m_nextWatch;
+    TimePoint m_nextPollAt;
     std::set<RackId> m_failedRacks;
     std::optional<routing::Pick> m_pick;
     Reason m_refusal = Reason::kNone;
@@ -111,8 +111,8 @@
 
   using RequestMap = std::unordered_map<LocalId, Request>;
 
-  void DropView();
-  void Place(const fleet::Instance& aInstance);
+  void ClearView();
+  void UpdateRouter(const fleet::Instance& aInstance);
   bool IsRoutable(const fleet::Instance& aInstance) const;
   ServiceState* FindService(const ServiceId& aService);
 
@@ -125,8 +125,8 @@
               std::optional<Duration> aRetryAfter,
               TimePoint aNow);
   void Enqueue(LocalId aLocal, Request& aRequest, TimePoint aNow);
-  void Pump(ServiceState& aService, TimePoint aNow);
-  void DropLate(ServiceState& aService, TimePoint aNow);
+  void StartQueued(ServiceState& aService, TimePoint aNow);
+  void DropExpired(ServiceState& aService, TimePoint aNow);
   bool Start(ServiceState& aService,
              const admission::Ticket& aTicket,
              TimePoint aNow);
@@ -134,20 +134,20 @@
                      Request& aRequest,
                      Reason aReason,
                      TimePoint aNow);
-  void FromRecord(LocalId aLocal, const BeginResult& aResult, TimePoint aNow);
+  void HandleRecord(LocalId aLocal, const BeginResult& aResult, TimePoint aNow);
   void GiveUp(LocalId aLocal,
               Reason aReason,
               std::optional<Duration> aRetryAfter);
   void Finish(LocalId aLocal, Conclude aConclusion);
   void FinishWithAnswer(LocalId aLocal);
-  void Put(const Request& aRequest,
-           LocalId aLocal,
-           outcome::State aState,
-           bool aWithAnswer);
+  void ResolveRecord(const Request& aRequest,
+                     LocalId aLocal,
+                     outcome::State aState,
+                     bool aWithAnswer);
   void Erase(LocalId aLocal);
   admission::Ticket TicketOf(LocalId aLocal, const Request& aRequest) const;
-  admission::Service ServedBy(ServiceState& aService, TimePoint aNow) const;
-  bool IsLeaseLongGone(TimePoint aNow) const;
+  admission::Service LoadOf(ServiceState& aService, TimePoint aNow) const;
+  bool IsLeaseGracePeriodOver(TimePoint aNow) const;
 
   Options m_options;
   outcome::EntryId m_self;
@@ -162,7 +162,7 @@
   std::map<InstanceId, fleet::Instance> m_instances;
   std::map<ServiceId, ServiceState> m_services;
   RequestMap m_requests;
-  std::set<LocalId> m_watching;
+  std::set<LocalId> m_awaitingRecord;
   std::uint64_t m_lastTicket = 0;
   Counters m_counters;
   std::vector<Action> m_actions;
--- a/include/bamboostile/request/types.h
+++ b/include/bamboostile/request/types.h
@@ -8,7 +8,7 @@
 
 namespace bamboostile::request {
 
-/** A caller's request while this entry has it. */
+/** Identifies a caller's request within this entry. */
 using LocalId = Strong<struct LocalIdTag, std::uint64_t>;
 
 struct Arrival
@@ -16,15 +16,15 @@
   LocalId m_local;
   ServiceId m_service;
   RequestId m_request;
-  /** The caller chose the id: copies may be on their way to other entries. */
+  /** The caller chose the request id, so other entries may have copies. */
   bool m_keyed = false;
   std::uint32_t m_attempt = 1;
-  /** GET and its like, PUT and DELETE; POST and PATCH if the service says so.
-   */
+  /** Set for safe methods such as GET, for PUT and DELETE, and for POST and
+   * PATCH if the service declares them idempotent. */
   bool m_idempotentMethod = false;
   admission::Class m_class = admission::Class::kNormal;
   std::string m_digest;
-  /** The caller's own; the service's default where it named none. */
+  /** Timeout set by the caller; without one, the service's default applies. */
   std::optional<Duration> m_timeout;
 };
 
@@ -34,7 +34,7 @@
   kRecorded,
   kDigestMismatch,
   kAttemptNotAllowed,
-  /** The call may or may not be committed; nobody answered in time. */
+  /** No answer came in time; the call may or may not be committed. */
   kUndecided,
 };
 
@@ -48,11 +48,11 @@
 
 enum class AttemptEnd
 {
-  /** A whole answer. */
+  /** A complete answer arrived. */
   kAnswered,
-  /** No byte of the request went out, and none will. */
+  /** No byte of the request was sent, and none will be. */
   kNotSent,
-  /** Bytes went out and no whole answer came back. */
+  /** Bytes were sent, but no complete answer arrived. */
   kBroken,
   kTimedOut,
 };
@@ -68,8 +68,8 @@
 
 // ------------------------------------------------------------------ actions
 
-/** Ask control for the right to run this attempt, or put a refusal on
- * record. The answer comes back through OnBegin. */
+/** Asks the control group for permission to run an attempt, or records a
+ * refusal. The reply is passed to OnBegin. */
 struct AskBegin
 {
   outcome::Begin m_begin;
@@ -77,7 +77,8 @@
   Duration m_patience{};
 };
 
-/** Ask control how the attempt held elsewhere stands; answered to OnBegin. */
+/** Queries the control group for the state of an attempt that another entry
+ * holds. The reply is passed to OnBegin. */
 struct AskRecord
 {
   LocalId m_local;
@@ -91,12 +92,12 @@
   std::uint32_t m_number = 0;
   routing::Pick m_upstream;
   Duration m_timeout{};
-  /** A second run would do harm: no connection that may be stale, and no
-   * repetition by the transport. */
+  /** The request is not idempotent: the transport must use no connection that
+   * may be stale and must not retransmit. */
   bool m_onlyOnce = false;
 };
 
-/** The answer of the last attempt goes to the caller. */
+/** Relays the answer of the last attempt to the caller. */
 struct Relay
 {
   LocalId m_local;
@@ -105,7 +106,7 @@
 struct Resolve
 {
   outcome::Resolve m_resolve;
-  /** Put the answer of the last attempt on record too. */
+  /** Request whose last answer is recorded too if m_withAnswer is set. */
   LocalId m_local;
   bool m_withAnswer = false;
 };
@@ -133,14 +134,15 @@
 
 const char* Describe(Reason aReason) noexcept;
 
-/** The final word to the caller, without an upstream's answer of our own. */
+/** Sends the caller a final outcome when this entry has no upstream answer to
+ * relay. */
 struct Conclude
 {
   LocalId m_local;
   outcome::State m_state = outcome::State::kUnknown;
   Reason m_reason = Reason::kNone;
   std::optional<Duration> m_retryAfter;
-  /** The answer that another copy of this request got. */
+  /** Recorded answer to another copy of this request. */
   std::optional<outcome::Answer> m_recorded;
 };
 
--- a/src/request/engine.cpp
+++ b/src/request/engine.cpp
@@ -10,17 +10,17 @@
 
 constexpr Duration kLeaseRetryAfter = Millis{ 1000 };
 constexpr Duration kShortRetryAfter = Millis{ 200 };
-constexpr Duration kTimeoutOfUnknownService = Millis{ 5000 };
+constexpr Duration kUnknownServiceTimeout = Millis{ 5000 };
 constexpr std::uint32_t kFirstServerError = 500;
 constexpr std::uint32_t kBadGateway = 502;
 constexpr std::uint32_t kServiceUnavailable = 503;
 constexpr std::uint32_t kGatewayTimeout = 504;
-/** Of what is left, an attempt that may be repeated gets this share, so that
- * a hanging upstream leaves time for another. */
-constexpr int kRepeatableSharePercent = 60;
+/** Share of the remaining time that an attempt gets if a retry may follow, so
+ * that a hanging upstream leaves time for that retry. */
+constexpr int kRetryableTimeoutPercent = 60;
 
 bool
-SaysTryElsewhere(std::uint32_t aStatus)
+IsRetryableStatus(std::uint32_t aStatus)
 {
   return aStatus == kBadGateway || aStatus == kServiceUnavailable ||
          aStatus == kGatewayTimeout;
@@ -99,7 +99,7 @@
   return std::exchange(m_actions, {});
 }
 
-// --------------------------------------------------------------------- view
+// ----------------------------------------------------------------- fleet view
 
 Engine::ServiceState*
 Engine::FindService(const ServiceId& aService)
@@ -128,7 +128,7 @@
 }
 
 void
-Engine::Place(const fleet::Instance& aInstance)
+Engine::UpdateRouter(const fleet::Instance& aInstance)
 {
   ServiceState* service = FindService(aInstance.m_announced.m_service);
   if (service != nullptr) {
@@ -137,13 +137,13 @@
 }
 
 void
-Engine::DropView()
+Engine::ClearView()
 {
-  // Objects missing from a full view are gone. Routers keep what is under
-  // way, so their upstreams are only barred here.
+  // Objects missing from a full view were removed. Routers track attempts in
+  // flight, so upstreams are only made unroutable here.
   for (auto& [id, instance] : m_instances) {
     instance.m_lost = true;
-    Place(instance);
+    UpdateRouter(instance);
   }
   for (auto& [id, service] : m_services) {
     service.m_removed = true;
@@ -155,14 +155,14 @@
 void
 Engine::OnView(const fleet::View& aView, TimePoint aNow)
 {
-  // Reordered or repeated views, and those of a replica that lags, must not
-  // take back what is in force.
+  // Reordered or duplicate views, and views from a lagging replica, must not
+  // revert the current state.
   if (aView.m_revision < m_revision ||
       (aView.m_revision == m_revision && !aView.m_full)) {
     return;
   }
   if (aView.m_full) {
-    DropView();
+    ClearView();
   }
   if (aView.m_config) {
     m_config = *aView.m_config;
@@ -179,7 +179,7 @@
                    const auto found = m_instances.find(aId);
                    if (found != m_instances.end()) {
                      found->second.m_lost = true;
-                     Place(found->second);
+                     UpdateRouter(found->second);
                      m_instances.erase(found);
                    }
                  },
@@ -204,13 +204,13 @@
     found->second.m_router.SetShare(m_position, m_entryCount);
   }
   for (const fleet::Instance& instance : aView.m_instances) {
-    const auto held = m_instances.find(instance.m_announced.m_id);
+    const auto known = m_instances.find(instance.m_announced.m_id);
     const bool changedService =
-      held != m_instances.end() &&
-      held->second.m_announced.m_service != instance.m_announced.m_service;
+      known != m_instances.end() &&
+      known->second.m_announced.m_service != instance.m_announced.m_service;
     if (changedService) {
-      held->second.m_lost = true;
-      Place(held->second);
+      known->second.m_lost = true;
+      UpdateRouter(known->second);
     }
     m_instances[instance.m_announced.m_id] = instance;
   }
@@ -218,11 +218,11 @@
     !aView.m_pools.empty() || !aView.m_services.empty() || aView.m_full;
   if (poolsChanged) {
     for (const auto& [id, instance] : m_instances) {
-      Place(instance);
+      UpdateRouter(instance);
     }
   } else {
     for (const fleet::Instance& instance : aView.m_instances) {
-      Place(instance);
+      UpdateRouter(instance);
     }
   }
   m_revision = aView.m_revision;
@@ -230,7 +230,7 @@
     service.m_router.SetLimits(m_config.m_ejectionCeilingPercent,
                                m_config.m_panicPercent,
                                m_config.m_sameZoneFirst);
-    Pump(service, aNow);
+    StartQueued(service, aNow);
   }
 }
 
@@ -248,14 +248,14 @@
     if (shareChanged) {
       service.m_router.SetShare(aPosition, aCount);
     }
-    Pump(service, aNow);
+    StartQueued(service, aNow);
   }
 }
 
 bool
-Engine::IsLeaseLongGone(TimePoint aNow) const
+Engine::IsLeaseGracePeriodOver(TimePoint aNow) const
 {
-  return aNow >= m_leaseUntil + m_options.m_leaseGrace;
+  return aNow >= m_leaseUntil + m_options.m_leaseGracePeriod;
 }
 
 std::vector<std::pair<InstanceId, std::uint32_t>>
@@ -263,8 +263,8 @@
 {
   std::vector<std::pair<InstanceId, std::uint32_t>> all;
   for (const auto& [id, service] : m_services) {
-    const auto left = service.m_router.Leftovers();
-    all.insert(all.end(), left.begin(), left.end());
+    const auto inFlight = service.m_router.Leftovers();
+    all.insert(all.end(), inFlight.begin(), inFlight.end());
   }
   return all;
 }
@@ -279,7 +279,7 @@
   return count;
 }
 
-// ---------------------------------------------------------------- admission
+// ------------------------------------------------------------------ admission
 
 admission::Ticket
 Engine::TicketOf(LocalId aLocal, const Request& aRequest) const
@@ -288,7 +288,7 @@
 }
 
 admission::Service
-Engine::ServedBy(ServiceState& aService, TimePoint aNow) const
+Engine::LoadOf(ServiceState& aService, TimePoint aNow) const
 {
   return { aService.m_router.Capacity(aNow),
            aService.m_router.InFlight(),
@@ -307,7 +307,7 @@
     aWait = Duration::zero();
     return Reason::kDraining;
   }
-  if (IsLeaseLongGone(aNow)) {
+  if (IsLeaseGracePeriodOver(aNow)) {
     return Reason::kNoLease;
   }
   if (!aService.m_router.HasUpstreams()) {
@@ -319,13 +319,13 @@
       aService.m_requests > share) {
     return Reason::kEntryFull;
   }
-  const admission::Service served = ServedBy(aService, aNow);
+  const admission::Service load = LoadOf(aService, aNow);
   aWait = aService.m_queue.EstimateWait(
-    TicketOf(aRequest.m_arrival.m_local, aRequest), served);
+    TicketOf(aRequest.m_arrival.m_local, aRequest), load);
   if (aService.m_queue.Size() >= aService.m_service.m_queueLimit) {
     return Reason::kQueueFull;
   }
-  if (aNow + aWait + served.m_usualTime > aRequest.m_deadline) {
+  if (aNow + aWait + load.m_usualTime > aRequest.m_deadline) {
     return Reason::kDeadline;
   }
   return Reason::kNone;
@@ -339,14 +339,14 @@
   Request& request = m_requests[local];
   request.m_arrival = std::move(aArrival);
   request.m_arrivedAt = aNow;
-  request.m_mayRepeat = request.m_arrival.m_idempotentMethod;
+  request.m_isIdempotent = request.m_arrival.m_idempotentMethod;
   request.m_deadline =
-    aNow + request.m_arrival.m_timeout.value_or(kTimeoutOfUnknownService);
+    aNow + request.m_arrival.m_timeout.value_or(kUnknownServiceTimeout);
   if (service == nullptr || service->m_removed) {
-    const bool current = HasLease(aNow);
+    const bool hasLease = HasLease(aNow);
     Refuse(local,
-           current ? Reason::kUnknownService : Reason::kNoLease,
-           current ? std::nullopt : std::optional{ kLeaseRetryAfter },
+           hasLease ? Reason::kUnknownService : Reason::kNoLease,
+           hasLease ? std::nullopt : std::optional{ kLeaseRetryAfter },
            aNow);
     return;
   }
@@ -354,15 +354,15 @@
   const Duration timeout = request.m_arrival.m_timeout.value_or(
     Millis{ service->m_service.m_defaultTimeoutMs });
   request.m_deadline = aNow + timeout;
-  request.m_mayRepeat =
-    request.m_mayRepeat || service->m_service.m_postIsIdempotent;
+  request.m_isIdempotent =
+    request.m_isIdempotent || service->m_service.m_postIsIdempotent;
   Duration wait{};
   const Reason reason = CheckAdmission(*service, request, aNow, wait);
   if (reason != Reason::kNone) {
     Refuse(local, reason, wait, aNow);
     return;
   }
-  if (request.m_mayRepeat) {
+  if (request.m_isIdempotent) {
     service->m_budget.OnFirstAttempt();
     Enqueue(local, request, aNow);
     return;
@@ -379,9 +379,9 @@
                                 timeout });
 }
 
-// A refusal of a request that other entries may have copies of is true only
-// if none of them runs it later. So it is first put on record; where that
-// fails, "unknown" is all that can be said.
+// Other entries may hold copies of the request, and "not run" holds only if
+// none of them runs it later. The refusal is therefore recorded first; if that
+// fails, the outcome is "unknown".
 void
 Engine::Refuse(LocalId aLocal,
                Reason aReason,
@@ -389,7 +389,7 @@
                TimePoint aNow)
 {
   Request& request = m_requests.at(aLocal);
-  if (request.m_mayRepeat || !request.m_arrival.m_keyed) {
+  if (request.m_isIdempotent || !request.m_arrival.m_keyed) {
     GiveUp(aLocal, aReason, aRetryAfter);
     return;
   }
@@ -397,8 +397,8 @@
   request.m_refusal = aReason;
   request.m_retryAfter = aRetryAfter;
   request.m_ticket = ++m_lastTicket;
-  const Duration patience =
-    std::min(m_options.m_recordPatience, request.m_deadline - aNow);
+  const Duration timeout =
+    std::min(m_options.m_recordTimeout, request.m_deadline - aNow);
   m_actions.push_back(AskBegin{ { request.m_arrival.m_request,
                                   request.m_arrival.m_attempt,
                                   request.m_arrival.m_digest,
@@ -406,10 +406,10 @@
                                   request.m_ticket,
                                   true },
                                 aLocal,
-                                patience });
+                                timeout });
 }
 
-// ------------------------------------------------------------------- record
+// ------------------------------------------------------------ outcome records
 
 void
 Engine::OnBegin(LocalId aLocal, const BeginResult& aResult, TimePoint aNow)
@@ -421,10 +421,10 @@
   Request& request = found->second;
   if (request.m_phase != Phase::kRecording &&
       request.m_phase != Phase::kRefusing &&
-      request.m_phase != Phase::kWatching) {
+      request.m_phase != Phase::kAwaitingRecord) {
     return;
   }
-  const bool refusing = request.m_phase == Phase::kRefusing;
+  const bool isRefusing = request.m_phase == Phase::kRefusing;
   switch (aResult.m_outcome) {
     case BeginOutcome::kGranted: {
       request.m_recorded = true;
@@ -434,7 +434,7 @@
       return;
     }
     case BeginOutcome::kRecorded:
-      FromRecord(aLocal, aResult, aNow);
+      HandleRecord(aLocal, aResult, aNow);
       return;
     case BeginOutcome::kDigestMismatch:
       Finish(aLocal,
@@ -446,7 +446,7 @@
       return;
     case BeginOutcome::kAttemptNotAllowed:
       // A later copy of this attempt may still be allowed, so "not run"
-      // could become false.
+      // could turn out to be false.
       Finish(aLocal,
              Conclude{ aLocal,
                        outcome::State::kUnknown,
@@ -457,22 +457,22 @@
     case BeginOutcome::kUndecided:
       break;
   }
-  // This entry sent nothing and never will, which it puts on record in case
-  // the call was committed after all. Where it made the id itself, no copy
-  // exists that could run.
-  Put(request, aLocal, outcome::State::kNotRun, false);
-  const bool provedNotRun = !request.m_arrival.m_keyed;
+  // This entry sent nothing and never will; it records that in case the call
+  // was committed after all. If this entry generated the id, no copy exists
+  // that could run.
+  ResolveRecord(request, aLocal, outcome::State::kNotRun, false);
+  const bool isNotRun = !request.m_arrival.m_keyed;
   Finish(
     aLocal,
     Conclude{ aLocal,
-              provedNotRun ? outcome::State::kNotRun : outcome::State::kUnknown,
-              refusing ? request.m_refusal : Reason::kNoRecord,
+              isNotRun ? outcome::State::kNotRun : outcome::State::kUnknown,
+              isRefusing ? request.m_refusal : Reason::kNoRecord,
               kLeaseRetryAfter,
               std::nullopt });
 }
 
 void
-Engine::FromRecord(LocalId aLocal, const BeginResult& aResult, TimePoint aNow)
+Engine::HandleRecord(LocalId aLocal, const BeginResult& aResult, TimePoint aNow)
 {
   Request& request = m_requests.at(aLocal);
   if (!aResult.m_record) {
@@ -485,10 +485,10 @@
     return;
   }
   const outcome::Record& record = *aResult.m_record;
-  const bool ownRefusal = request.m_phase == Phase::kRefusing &&
-                          record.m_holder == m_self &&
-                          record.m_ticket == request.m_ticket;
-  if (ownRefusal) {
+  const bool isOwnRefusal = request.m_phase == Phase::kRefusing &&
+                            record.m_holder == m_self &&
+                            record.m_ticket == request.m_ticket;
+  if (isOwnRefusal) {
     Finish(aLocal,
            Conclude{ aLocal,
                      outcome::State::kNotRun,
@@ -506,8 +506,9 @@
                      record.m_answer });
     return;
   }
-  // Only the holder may say "not run", and it is gone or frozen: a frozen
-  // entry can still wake and send. So this is the final word at once.
+  // Only the holder may report "not run". A holder that is not alive may be
+  // frozen and can still resume and send, so the outcome is "unknown" at
+  // once.
   if (aResult.m_holderGone || aNow >= request.m_deadline) {
     Finish(aLocal,
            Conclude{ aLocal,
@@ -518,12 +519,12 @@
                      std::nullopt });
     return;
   }
-  request.m_phase = Phase::kWatching;
-  request.m_nextWatch = aNow + m_options.m_watchInterval;
-  m_watching.insert(aLocal);
+  request.m_phase = Phase::kAwaitingRecord;
+  request.m_nextPollAt = aNow + m_options.m_recordPollInterval;
+  m_awaitingRecord.insert(aLocal);
 }
 
-// -------------------------------------------------------------------- tries
+// --------------------------------------------------------- queue and attempts
 
 void
 Engine::Enqueue(LocalId aLocal, Request& aRequest, TimePoint aNow)
@@ -531,26 +532,28 @@
   aRequest.m_phase = Phase::kQueued;
   ServiceState& service = *FindService(aRequest.m_arrival.m_service);
   service.m_queue.Push(TicketOf(aLocal, aRequest));
-  Pump(service, aNow);
+  StartQueued(service, aNow);
 }
 
 void
-Engine::DropLate(ServiceState& aService, TimePoint aNow)
+Engine::DropExpired(ServiceState& aService, TimePoint aNow)
 {
-  const Duration minimal = aService.m_router.UsualTime();
-  for (const auto& ticket : aService.m_queue.TakeLate(minimal, aNow)) {
+  const Duration maxUsualServiceTime = aService.m_router.UsualTime();
+  for (const auto& ticket :
+       aService.m_queue.TakeLate(maxUsualServiceTime, aNow)) {
     const Duration wait =
-      aService.m_queue.EstimateWait(ticket, ServedBy(aService, aNow));
+      aService.m_queue.EstimateWait(ticket, LoadOf(aService, aNow));
     GiveUp(LocalId{ ticket.m_id }, Reason::kDeadline, wait);
   }
 }
 
 void
-Engine::Pump(ServiceState& aService, TimePoint aNow)
+Engine::StartQueued(ServiceState& aService, TimePoint aNow)
 {
-  // Late work is dropped before it takes a slot: an answer that nobody waits
-  // for any more costs the ones behind it their deadline too.
-  DropLate(aService, aNow);
+  // Expired requests are dropped before they take a slot: serving a request
+  // whose caller no longer waits makes those behind it miss their deadlines
+  // too.
+  DropExpired(aService, aNow);
   if (!HasLease(aNow)) {
     return;
   }
@@ -577,17 +580,17 @@
   request.m_pick = pick;
   ++request.m_attempts;
   Duration timeout = request.m_deadline - aNow;
-  if (request.m_mayRepeat && request.m_attempts < m_options.m_maxAttempts) {
-    timeout = timeout * kRepeatableSharePercent / 100;
+  if (request.m_isIdempotent && request.m_attempts < m_options.m_maxAttempts) {
+    timeout = timeout * kRetryableTimeoutPercent / 100;
   }
   m_actions.push_back(Dispatch{
-    local, request.m_attempts, *pick, timeout, !request.m_mayRepeat });
+    local, request.m_attempts, *pick, timeout, !request.m_isIdempotent });
   return true;
 }
 
 void
 Engine::OnAttempt(LocalId aLocal,
-                  std::uint32_t aNumber,
+                  std::uint32_t aAttemptNumber,
                   const AttemptResult& aResult,
                   TimePoint aNow)
 {
@@ -596,9 +599,10 @@
     return;
   }
   Request& request = found->second;
-  // Answers belong to the attempt they were sent for, not to the order in
-  // which they come back.
-  if (request.m_phase != Phase::kRunning || request.m_attempts != aNumber) {
+  // Results are matched by attempt number, since they can arrive out of
+  // order.
+  if (request.m_phase != Phase::kRunning ||
+      request.m_attempts != aAttemptNumber) {
     return;
   }
   ServiceState& service = *FindService(request.m_arrival.m_service);
@@ -606,19 +610,20 @@
     request.m_pick->m_instance, VerdictOf(aResult), aResult.m_took, aNow);
   const bool notRun =
     aResult.m_end == AttemptEnd::kNotSent || aResult.m_provesNotRun;
-  request.m_sentBefore = request.m_sentBefore || !notRun;
+  request.m_mayHaveRun = request.m_mayHaveRun || !notRun;
   if (aResult.m_end == AttemptEnd::kAnswered) {
-    const bool elsewhere =
+    const bool isRetryable =
       aResult.m_provesNotRun ||
-      (request.m_mayRepeat && SaysTryElsewhere(aResult.m_status));
-    const bool triesLeft = request.m_attempts < m_options.m_maxAttempts;
-    const bool again = elsewhere && triesLeft && request.m_deadline > aNow &&
+      (request.m_isIdempotent && IsRetryableStatus(aResult.m_status));
+    const bool attemptsLeft = request.m_attempts < m_options.m_maxAttempts;
+    const bool retry = isRetryable && attemptsLeft &&
+                       request.m_deadline > aNow &&
                        service.m_budget.TakeRetry();
-    if (again) {
+    if (retry) {
       ++m_counters.m_retries;
       request.m_failedRacks.insert(request.m_pick->m_rack);
       Enqueue(aLocal, request, aNow);
-    } else if (aResult.m_provesNotRun && !request.m_sentBefore) {
+    } else if (aResult.m_provesNotRun && !request.m_mayHaveRun) {
       GiveUp(aLocal, Reason::kNotSent, kShortRetryAfter);
     } else {
       FinishWithAnswer(aLocal);
@@ -631,7 +636,7 @@
                                                   : Reason::kBroken);
     RetryOrGiveUp(aLocal, request, reason, aNow);
   }
-  Pump(service, aNow);
+  StartQueued(service, aNow);
 }
 
 void
@@ -641,14 +646,13 @@
                       TimePoint aNow)
 {
   ServiceState& service = *FindService(aRequest.m_arrival.m_service);
-  // After bytes went out, a timeout, a reset or a cut answer proves nothing:
-  // the upstream may have run the request. Only what may run twice is tried
-  // again.
-  const bool harmless = aRequest.m_mayRepeat || !aRequest.m_sentBefore;
-  const bool again = harmless &&
-                     aRequest.m_attempts < m_options.m_maxAttempts &&
+  // Once bytes were sent, the upstream may have run the request even if the
+  // attempt ends with a timeout, a reset or a truncated answer. Only
+  // idempotent requests are then retried.
+  const bool isSafe = aRequest.m_isIdempotent || !aRequest.m_mayHaveRun;
+  const bool retry = isSafe && aRequest.m_attempts < m_options.m_maxAttempts &&
                      aRequest.m_deadline > aNow && service.m_budget.TakeRetry();
-  if (!again) {
+  if (!retry) {
     GiveUp(aLocal, aReason, kShortRetryAfter);
     return;
   }
@@ -661,34 +665,34 @@
 Engine::Tick(TimePoint aNow)
 {
   for (auto& [id, service] : m_services) {
-    if (IsLeaseLongGone(aNow)) {
+    if (IsLeaseGracePeriodOver(aNow)) {
       while (const auto ticket = service.m_queue.Pop()) {
         GiveUp(LocalId{ ticket->m_id }, Reason::kNoLease, kLeaseRetryAfter);
       }
     }
-    Pump(service, aNow);
+    StartQueued(service, aNow);
   }
-  const std::set<LocalId> watching = m_watching;
-  for (const LocalId local : watching) {
+  const std::set<LocalId> awaiting = m_awaitingRecord;
+  for (const LocalId local : awaiting) {
     Request& request = m_requests.at(local);
-    if (aNow < request.m_nextWatch) {
+    if (aNow < request.m_nextPollAt) {
       continue;
     }
-    m_watching.erase(local);
-    const Duration patience =
+    m_awaitingRecord.erase(local);
+    const Duration timeout =
       std::max<Duration>(request.m_deadline - aNow, Millis{ 1 });
     m_actions.push_back(
-      AskRecord{ local, request.m_arrival.m_request, patience });
+      AskRecord{ local, request.m_arrival.m_request, timeout });
   }
 }
 
-// --------------------------------------------------------------- final words
+// ----------------------------------------------------------------- completion
 
 void
-Engine::Put(const Request& aRequest,
-            LocalId aLocal,
-            outcome::State aState,
-            bool aWithAnswer)
+Engine::ResolveRecord(const Request& aRequest,
+                      LocalId aLocal,
+                      outcome::State aState,
+                      bool aWithAnswer)
 {
   m_actions.push_back(Resolve{ { aRequest.m_arrival.m_request,
                                  aRequest.m_arrival.m_attempt,
@@ -700,9 +704,9 @@
                                aWithAnswer });
 }
 
-// "Not run" if no byte ever went out; otherwise nobody can know. For a
-// recorded attempt both go into the record; no other entry can start it, so
-// the caller need not wait for that.
+// The outcome is "not run" if no byte was ever sent, otherwise "unknown". For a
+// recorded attempt, it is also recorded. No other entry can start the attempt,
+// so the caller need not wait for that record.
 void
 Engine::GiveUp(LocalId aLocal,
                Reason aReason,
@@ -710,9 +714,9 @@
 {
   const Request& request = m_requests.at(aLocal);
   const outcome::State state =
-    request.m_sentBefore ? outcome::State::kUnknown : outcome::State::kNotRun;
+    request.m_mayHaveRun ? outcome::State::kUnknown : outcome::State::kNotRun;
   if (request.m_recorded) {
-    Put(request, aLocal, state, false);
+    ResolveRecord(request, aLocal, state, false);
   }
   Finish(aLocal, Conclude{ aLocal, state, aReason, aRetryAfter, std::nullopt });
 }
@@ -722,7 +726,7 @@
 {
   const Request& request = m_requests.at(aLocal);
   if (request.m_recorded) {
-    Put(request, aLocal, outcome::State::kDone, true);
+    ResolveRecord(request, aLocal, outcome::State::kDone, true);
   }
   ++m_counters.m_done;
   m_actions.push_back(Relay{ aLocal });
@@ -756,7 +760,7 @@
   if (service != nullptr && service->m_requests > 0) {
     --service->m_requests;
   }
-  m_watching.erase(aLocal);
+  m_awaitingRecord.erase(aLocal);
   m_requests.erase(found);
 }
 
--- a/tests/unit/request/engine_test.cpp
+++ b/tests/unit/request/engine_test.cpp
@@ -43,7 +43,7 @@
     m_engine.OnLease(kStart + std::chrono::hours{ 1 }, 0, 1, kStart);
   }
 
-  /** Sends an idempotent request and returns what the engine decided. */
+  /** Sends an idempotent request and returns the engine's actions. */
   std::vector<Action> Send(const char* aService, Duration aTimeout)
   {
     Arrival arrival;
@@ -69,8 +69,8 @@
   std::uint64_t m_last = 0;
 };
 
-// An entry was away for so long that it gets everything anew. A service that
-// is missing there was removed meanwhile, and must not be served on.
+// An entry that missed many revisions gets a full view. A service that is
+// missing from it was removed meanwhile and must not be served any longer.
 TEST(RequestEngine, FullViewWithoutService_ServiceIsUnknown)
 {
   CHECK(RefusalOf(Send("b", Millis{ 1000 })) == Reason::kNone);
@@ -79,7 +79,7 @@
   CHECK(RefusalOf(Send("a", Millis{ 1000 })) == Reason::kNone);
 }
 
-// A view of a replica that lags arrives late; what is in force stays.
+// A late view from a lagging replica must not revert the current state.
 TEST(RequestEngine, OlderView_Late_ChangesNothing)
 {
   m_engine.OnView(ViewOf({ "a", "b" }, 9), kStart);
@@ -88,8 +88,8 @@
   CHECK(RefusalOf(Send("a", Millis{ 1000 })) == Reason::kNone);
 }
 
-// The queue is long and the deadline near: the final answer comes at once,
-// with the time after which to come back.
+// A request that would miss its deadline in a long queue must be refused at
+// once, with a retry-after time, instead of after its deadline.
 TEST(RequestEngine, DeadlineThatCannotBeMet_RefusedAtOnceWithRetryAfter)
 {
   for (int i = 0; i < 60; ++i) {
@@ -102,7 +102,8 @@
   CHECK(conclude.m_retryAfter > Duration::zero());
 }
 
-// One service floods the entry. It is held to its share; the other is served.
+// A service that floods the entry is limited to its share and must not keep
+// requests of another service from being served.
 TEST(RequestEngine, FloodOfOneService_OtherKeepsItsShare)
 {
   fleet::View view = ViewOf({ "a", "b" }, 2);
@@ -117,8 +118,8 @@
   CHECK(RefusalOf(Send("b", std::chrono::minutes{ 1 })) == Reason::kNone);
 }
 
-// The lease is long over: nothing can be promised, and callers learn it at
-// once instead of waiting for their deadlines.
+// When the grace period after a lease has ended, queued requests must be
+// refused at once instead of waiting for their deadlines.
 TEST(RequestEngine, LeaseLongGone_QueuedRequestsAreRefusedAtOnce)
 {
   Engine engine({}, { InstanceId{ "e" }, Incarnation{ 1 } }, ZoneId{ "z" });
