--- a/include/bamboostile/routing/router.h
+++ b/include/bamboostile/routing/router.h
@@ -12,33 +12,33 @@
 
 enum class Policy
 {
-  /** Baselines, kept for comparison. */
+  /** The policies up to kTwoChoices are baselines for comparison. */
   kRandom,
   kLeastOutstanding,
   kTwoChoices,
-  /** Own slots first, then two choices among those lent. */
+  /** Owned slots first, then two choices among borrowable slots. */
   kOwnedSlots,
 };
 
 struct Options
 {
   Policy m_policy = Policy::kOwnedSlots;
-  /** Errors in a row that set an upstream aside. */
-  int m_ejectAfter = 5;
-  Duration m_ejectFor = Millis{ 5000 };
-  /** Share of other entries' slots that may be borrowed, in percent. */
+  /** Consecutive errors after which an upstream is ejected. */
+  int m_ejectionThreshold = 5;
+  Duration m_ejectionTime = Millis{ 5000 };
+  /** Maximum share of other entries' slots that may be borrowed, in percent. */
   std::uint32_t m_borrowPercent = 50;
   std::uint64_t m_seed = 1;
 };
 
-/** How an attempt at an upstream ended, as far as routing cares. */
+/** Result of an attempt at an upstream, as seen by routing. */
 enum class Verdict
 {
   kGood,
-  /** Refused, reset, cut short, an answer of the 5xx class. */
+  /** Connection refused or reset, answer truncated, or a 5xx status. */
   kBad,
   kTimedOut,
-  /** Ended by us; says nothing about the upstream. */
+  /** Cancelled by this entry; not counted for or against the upstream. */
   kAbandoned,
 };
 
@@ -53,43 +53,45 @@
 /**
  * @brief Chooses the upstream of one service for each attempt.
  *
- * Several entries share the slots of each upstream without talking to each
- * other per request. Every entry owns some slots outright, by a rule that all
- * compute alike from (upstream, number of entries); slots of other entries
- * are borrowed only when the own ones are busy.
+ * Several entries share the slots of each upstream without communicating per
+ * request. Every entry owns some slots, by a rule that all entries compute
+ * alike from the upstream and the number of entries. It borrows slots of other
+ * entries only when its own are busy.
  */
 class Router
 {
 public:
   Router(Options aOptions, ZoneId aOwnZone);
 
-  /** Takes over what the view says; unknown upstreams are added, and the
-   * load under way at those that stay is kept. */
+  /** Adds an upstream or updates a known one, whose in-flight count is kept. */
   void Update(const fleet::Instance& aInstance, bool aRoutable);
   void Remove(const InstanceId& aInstance);
   void SetLimits(std::uint32_t aEjectionCeilingPercent,
                  std::uint32_t aPanicPercent,
                  bool aSameZoneFirst);
-  /** aPosition of aCount live entries, which decides the owned slots. */
+  /** Sets this entry's position among the live entries, which determines the
+   * owned slots. */
   void SetShare(std::uint32_t aPosition, std::uint32_t aCount);
 
-  /** Picks and counts the attempt as under way; aAvoid names racks that this
-   * request already failed in. */
-  std::optional<Pick> Choose(const std::set<RackId>& aAvoid, TimePoint aNow);
+  /** Picks an upstream and counts the attempt as in flight. aAvoidedRacks holds
+   * the racks in which this request already failed. */
+  std::optional<Pick> Choose(const std::set<RackId>& aAvoidedRacks,
+                             TimePoint aNow);
   void Finish(const InstanceId& aInstance,
               Verdict aVerdict,
-              Duration aTook,
+              Duration aElapsed,
               TimePoint aNow);
 
-  /** Attempts that could be under way together at this entry. */
+  /** Maximum number of concurrent attempts of this entry. */
   std::uint32_t Capacity(TimePoint aNow);
   std::uint32_t InFlight() const { return m_inFlight; }
   bool HasUpstreams() const { return m_routable > 0; }
   Duration MeanTime() const { return m_meanTime; }
-  /** Most requests take no longer. */
-  Duration UsualTime() const { return m_meanTime + 2 * m_deviation; }
+  /** Mean service time plus two mean deviations; most requests take no longer.
+   */
+  Duration UsualTime() const { return m_meanTime + 2 * m_meanDeviation; }
   std::size_t EjectedCount(TimePoint aNow) const;
-  /** Upstreams that take no new work but still have some under way. */
+  /** Attempts in flight per upstream that takes no new work. */
   std::vector<std::pair<InstanceId, std::uint32_t>> Leftovers() const;
 
 private:
@@ -104,15 +106,15 @@
     std::uint32_t m_owned = 0;
     std::uint32_t m_inFlight = 0;
     bool m_routable = false;
-    int m_errorsInRow = 0;
+    int m_consecutiveErrors = 0;
     int m_ejections = 0;
     TimePoint m_ejectedUntil;
-    /** Exponentially weighted share of errors, 0 to 1, as of m_errorAt. */
+    /** Exponentially weighted share of errors, 0 to 1, at m_errorUpdatedAt. */
     double m_errorShare = 0;
-    TimePoint m_errorAt;
+    TimePoint m_errorUpdatedAt;
   };
 
-  /** Positions in m_upstreams. */
+  /** Indexes into m_upstreams. */
   using Positions = std::vector<std::size_t>;
 
   std::uint32_t OwnedSlots(const Upstream& aUpstream) const;
@@ -120,19 +122,19 @@
   static double ErrorShare(const Upstream& aUpstream, TimePoint aNow);
   static double Cost(const Upstream& aUpstream, TimePoint aNow);
   void Refresh(TimePoint aNow);
-  std::size_t SampleRandom(const Positions& aFrom);
-  std::size_t SampleOwned(const Positions& aFrom,
-                          const std::set<RackId>& aAvoid,
+  std::size_t SampleRandom(const Positions& aCandidates);
+  std::size_t SampleOwned(const Positions& aCandidates,
+                          const std::set<RackId>& aAvoidedRacks,
                           TimePoint aNow);
-  std::size_t SampleTwo(const Positions& aFrom,
-                        const std::set<RackId>& aAvoid,
+  std::size_t SampleTwo(const Positions& aCandidates,
+                        const std::set<RackId>& aAvoidedRacks,
                         TimePoint aNow);
-  std::size_t ScanLeast(const Positions& aFrom, TimePoint aNow);
-  std::size_t ChooseIn(const Positions& aFrom,
-                       const std::set<RackId>& aAvoid,
-                       TimePoint aNow);
-  void Learn(Duration aTook);
-  void CloseWindow();
+  std::size_t ScanLeastLoaded(const Positions& aCandidates, TimePoint aNow);
+  std::size_t ChooseAmong(const Positions& aCandidates,
+                          const std::set<RackId>& aAvoidedRacks,
+                          TimePoint aNow);
+  void RecordServiceTime(Duration aElapsed);
+  void EvaluateWindow();
   void MaybeEject(Upstream& aUpstream, TimePoint aNow);
   std::uint64_t NextRandom();
 
@@ -145,23 +147,23 @@
   std::uint32_t m_entryCount = 1;
   std::vector<Upstream> m_upstreams;
   std::unordered_map<InstanceId, std::size_t> m_positions;
-  /** Those that may be chosen now; made anew after changes. */
+  /** Upstreams that may be chosen now; rebuilt by Refresh(). */
   Positions m_usable;
-  Positions m_usableNear;
+  Positions m_usableInZone;
   std::optional<TimePoint> m_refreshAt;
   std::uint32_t m_routable = 0;
   std::uint32_t m_capacity = 0;
-  bool m_ownsNone = false;
+  bool m_ownsNoSlot = false;
   std::uint32_t m_inFlight = 0;
   Duration m_meanTime = Millis{ 20 };
-  /** Mean distance from the mean. */
-  Duration m_deviation = Millis{ 10 };
-  /** What is left of the right to borrow, 0 to 1. */
-  double m_lent = 1;
+  /** Mean absolute deviation of the service time from its mean. */
+  Duration m_meanDeviation = Millis{ 10 };
+  /** Factor on m_borrowPercent, 0 to 1; reduced under congestion. */
+  double m_borrowFactor = 1;
   double m_windowSum = 0;
   std::uint32_t m_windowCount = 0;
-  /** Mean time while the upstreams had no queue. */
-  double m_baseline = 0;
+  /** Mean service time, in seconds, without queues at the upstreams. */
+  double m_baselineTime = 0;
   std::uint64_t m_randomState;
 };
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -10,24 +10,26 @@
 namespace {
 
 constexpr std::size_t kNone = static_cast<std::size_t>(-1);
-/** Upstreams looked at for a free owned slot. A fixed number keeps the cost
- * of a decision flat as the service grows. */
+/** Upstreams probed for a free owned slot. A fixed number keeps the cost of a
+ * decision independent of the number of upstreams. */
 constexpr std::size_t kOwnedProbes = 8;
 constexpr int kBorrowProbes = 4;
 constexpr double kErrorWeight = 8.0;
 constexpr double kErrorGain = 0.2;
-/** Below this, an old error no longer decides between equals. */
-constexpr double kErrorForgotten = 0.01;
+/** Lower error shares count as 0, so that an old error does not decide between
+ * equally loaded upstreams. */
+constexpr double kMinErrorShare = 0.01;
 constexpr Duration kErrorHalfLife = Millis{ 2000 };
 constexpr int kMaxEjectionFactor = 6;
-constexpr int kMeanTimeShift = 16;
-/** Answers that are judged together. */
-constexpr std::uint32_t kWindow = 32;
-constexpr double kBaselineCreep = 1.01;
-constexpr double kCongested = 2.0;
-constexpr double kLentCut = 0.5;
-constexpr double kLentGrowth = 0.02;
-constexpr double kLentLeast = 0.01;
+constexpr int kMeanTimeDivisor = 16;
+/** Number of successful answers whose mean time is compared with the baseline.
+ */
+constexpr std::uint32_t kWindowSize = 32;
+constexpr double kBaselineGrowth = 1.01;
+constexpr double kCongestionFactor = 2.0;
+constexpr double kBorrowDecrease = 0.5;
+constexpr double kBorrowIncrease = 0.02;
+constexpr double kMinBorrowFactor = 0.01;
 
 } // namespace
 
@@ -47,17 +49,18 @@
   return m_randomState;
 }
 
-// Slot s of an upstream belongs to entry (s + hash) mod entries. The hash
-// shifts the start, so that entries share the remainders evenly.
+// Slot s of an upstream belongs to entry (s + hash) mod entries. The hash of
+// the upstream's id distributes the remainders evenly over the entries.
 std::uint32_t
 Router::OwnedSlots(const Upstream& aUpstream) const
 {
   const std::uint64_t shift =
     StableHash{}.Add(aUpstream.m_id.Get()).Get() % m_entryCount;
-  const std::uint32_t whole = aUpstream.m_slots / m_entryCount;
+  const std::uint32_t evenShare = aUpstream.m_slots / m_entryCount;
   const std::uint32_t remainder = aUpstream.m_slots % m_entryCount;
-  const std::uint64_t rank = (m_position + m_entryCount - shift) % m_entryCount;
-  return whole + (rank < remainder ? 1 : 0);
+  const std::uint64_t offset =
+    (m_position + m_entryCount - shift) % m_entryCount;
+  return evenShare + (offset < remainder ? 1 : 0);
 }
 
 std::uint32_t
@@ -66,36 +69,38 @@
   if (m_options.m_policy != Policy::kOwnedSlots) {
     return aUpstream.m_slots;
   }
-  const std::uint32_t others = aUpstream.m_slots - aUpstream.m_owned;
-  const double lent = others * m_options.m_borrowPercent * m_lent / 100;
+  const std::uint32_t othersSlots = aUpstream.m_slots - aUpstream.m_owned;
+  const double borrowable =
+    othersSlots * m_options.m_borrowPercent * m_borrowFactor / 100;
   const std::uint32_t limit =
-    aUpstream.m_owned + static_cast<std::uint32_t>(std::ceil(lent));
-  return m_ownsNone ? std::max<std::uint32_t>(limit, 1) : limit;
+    aUpstream.m_owned + static_cast<std::uint32_t>(std::ceil(borrowable));
+  return m_ownsNoSlot ? std::max<std::uint32_t>(limit, 1) : limit;
 }
 
 void
 Router::Update(const fleet::Instance& aInstance, bool aRoutable)
 {
-  const fleet::Announcement& said = aInstance.m_announced;
+  const fleet::Announcement& announced = aInstance.m_announced;
   const auto [found, isNew] =
-    m_positions.try_emplace(said.m_id, m_upstreams.size());
+    m_positions.try_emplace(announced.m_id, m_upstreams.size());
   if (isNew) {
     m_upstreams.emplace_back();
-    m_upstreams.back().m_id = said.m_id;
+    m_upstreams.back().m_id = announced.m_id;
   }
   Upstream& upstream = m_upstreams[found->second];
-  // A new life of the instance starts without the errors of the old one.
-  if (upstream.m_incarnation != said.m_incarnation) {
-    upstream.m_errorsInRow = 0;
+  // A new incarnation of the instance starts without the errors of the previous
+  // one.
+  if (upstream.m_incarnation != announced.m_incarnation) {
+    upstream.m_consecutiveErrors = 0;
     upstream.m_errorShare = 0;
     upstream.m_ejections = 0;
     upstream.m_ejectedUntil = TimePoint{};
   }
-  upstream.m_rack = said.m_rack;
-  upstream.m_zone = said.m_zone;
-  upstream.m_address = said.m_address;
-  upstream.m_incarnation = said.m_incarnation;
-  upstream.m_slots = std::max<std::uint32_t>(said.m_slots, 1);
+  upstream.m_rack = announced.m_rack;
+  upstream.m_zone = announced.m_zone;
+  upstream.m_address = announced.m_address;
+  upstream.m_incarnation = announced.m_incarnation;
+  upstream.m_slots = std::max<std::uint32_t>(announced.m_slots, 1);
   upstream.m_owned = OwnedSlots(upstream);
   m_routable +=
     static_cast<int>(aRoutable) - static_cast<int>(upstream.m_routable);
@@ -110,13 +115,13 @@
   if (found == m_positions.end()) {
     return;
   }
-  const std::size_t hole = found->second;
-  m_routable -= m_upstreams[hole].m_routable ? 1 : 0;
-  m_inFlight -= m_upstreams[hole].m_inFlight;
+  const std::size_t index = found->second;
+  m_routable -= m_upstreams[index].m_routable ? 1 : 0;
+  m_inFlight -= m_upstreams[index].m_inFlight;
   m_positions.erase(found);
-  if (hole + 1 != m_upstreams.size()) {
-    m_upstreams[hole] = std::move(m_upstreams.back());
-    m_positions[m_upstreams[hole].m_id] = hole;
+  if (index + 1 != m_upstreams.size()) {
+    m_upstreams[index] = std::move(m_upstreams.back());
+    m_positions[m_upstreams[index].m_id] = index;
   }
   m_upstreams.pop_back();
   m_refreshAt.reset();
@@ -165,43 +170,44 @@
       next = std::min(next, upstream.m_ejectedUntil);
     }
   }
-  // With too few left, those set aside are used again: spreading the load
-  // over doubtful upstreams beats crushing the last good ones.
+  // With too few healthy upstreams, ejected ones are used too: spreading the
+  // load over unhealthy upstreams is better than overloading the healthy ones.
   const bool panic = healthy.size() * 100 < all.size() * m_panicPercent;
   m_usable = panic ? std::move(all) : std::move(healthy);
-  m_usableNear.clear();
+  m_usableInZone.clear();
   m_capacity = 0;
-  m_ownsNone = false;
+  m_ownsNoSlot = false;
   for (const std::size_t at : m_usable) {
     const Upstream& upstream = m_upstreams[at];
     m_capacity += LocalLimit(upstream);
     if (upstream.m_zone == m_ownZone) {
-      m_usableNear.push_back(at);
+      m_usableInZone.push_back(at);
     }
   }
-  // Where entries outnumber slots an entry may own none; it still may borrow
-  // one, or its callers would wait for ever.
-  m_ownsNone = m_capacity == 0;
-  if (m_ownsNone) {
+  // With more entries than slots, an entry may own none. It may then still
+  // borrow one per upstream, or its callers would wait forever.
+  m_ownsNoSlot = m_capacity == 0;
+  if (m_ownsNoSlot) {
     m_capacity = m_usable.size();
   }
   m_refreshAt = next;
 }
 
-// The share fades with time too: an upstream that is avoided for its errors
-// has no chance to show that it is well again.
+// The error share also decays with time, since an upstream that is avoided for
+// its errors gets no request whose success could lower it.
 double
 Router::ErrorShare(const Upstream& aUpstream, TimePoint aNow)
 {
   const double halvings =
-    std::chrono::duration<double>(aNow - aUpstream.m_errorAt) /
+    std::chrono::duration<double>(aNow - aUpstream.m_errorUpdatedAt) /
     std::chrono::duration<double>(kErrorHalfLife);
   const double share = aUpstream.m_errorShare * std::exp2(-halvings);
-  return share < kErrorForgotten ? 0 : share;
+  return share < kMinErrorShare ? 0 : share;
 }
 
-// Load, raised by errors: an upstream that fails everything at once always
-// has free slots, and by load alone it would draw the most work.
+// Returns the load, weighted by the error share. An upstream that fails every
+// request quickly always has free slots, and by load alone it would get the
+// most work.
 double
 Router::Cost(const Upstream& aUpstream, TimePoint aNow)
 {
@@ -213,28 +219,28 @@
 }
 
 std::size_t
-Router::SampleRandom(const Positions& aFrom)
+Router::SampleRandom(const Positions& aCandidates)
 {
-  const std::size_t at = aFrom[NextRandom() % aFrom.size()];
+  const std::size_t at = aCandidates[NextRandom() % aCandidates.size()];
   const Upstream& upstream = m_upstreams[at];
   return upstream.m_inFlight < LocalLimit(upstream) ? at : kNone;
 }
 
 std::size_t
-Router::SampleOwned(const Positions& aFrom,
-                    const std::set<RackId>& aAvoid,
+Router::SampleOwned(const Positions& aCandidates,
+                    const std::set<RackId>& aAvoidedRacks,
                     TimePoint aNow)
 {
-  const std::size_t start = NextRandom() % aFrom.size();
-  const std::size_t probes = std::min(aFrom.size(), kOwnedProbes);
+  const std::size_t start = NextRandom() % aCandidates.size();
+  const std::size_t probes = std::min(aCandidates.size(), kOwnedProbes);
   std::size_t best = kNone;
   for (std::size_t i = 0; i < probes; ++i) {
-    const std::size_t at = aFrom[(start + i) % aFrom.size()];
+    const std::size_t at = aCandidates[(start + i) % aCandidates.size()];
     const Upstream& upstream = m_upstreams[at];
-    const bool open = upstream.m_inFlight < upstream.m_owned &&
-                      !aAvoid.contains(upstream.m_rack);
-    if (open && (best == kNone ||
-                 Cost(upstream, aNow) < Cost(m_upstreams[best], aNow))) {
+    const bool hasFreeSlot = upstream.m_inFlight < upstream.m_owned &&
+                             !aAvoidedRacks.contains(upstream.m_rack);
+    if (hasFreeSlot && (best == kNone ||
+                        Cost(upstream, aNow) < Cost(m_upstreams[best], aNow))) {
       best = at;
     }
   }
@@ -242,18 +248,18 @@
 }
 
 std::size_t
-Router::SampleTwo(const Positions& aFrom,
-                  const std::set<RackId>& aAvoid,
+Router::SampleTwo(const Positions& aCandidates,
+                  const std::set<RackId>& aAvoidedRacks,
                   TimePoint aNow)
 {
   std::size_t best = kNone;
   int found = 0;
   for (int i = 0; i < kBorrowProbes && found < 2; ++i) {
-    const std::size_t at = aFrom[NextRandom() % aFrom.size()];
+    const std::size_t at = aCandidates[NextRandom() % aCandidates.size()];
     const Upstream& upstream = m_upstreams[at];
-    const bool open = upstream.m_inFlight < LocalLimit(upstream) &&
-                      !aAvoid.contains(upstream.m_rack);
-    if (!open) {
+    const bool hasFreeSlot = upstream.m_inFlight < LocalLimit(upstream) &&
+                             !aAvoidedRacks.contains(upstream.m_rack);
+    if (!hasFreeSlot) {
       continue;
     }
     ++found;
@@ -265,14 +271,14 @@
 }
 
 std::size_t
-Router::ScanLeast(const Positions& aFrom, TimePoint aNow)
+Router::ScanLeastLoaded(const Positions& aCandidates, TimePoint aNow)
 {
   std::size_t best = kNone;
-  for (const std::size_t at : aFrom) {
+  for (const std::size_t at : aCandidates) {
     const Upstream& upstream = m_upstreams[at];
-    const bool open = upstream.m_inFlight < LocalLimit(upstream);
-    if (open && (best == kNone ||
-                 Cost(upstream, aNow) < Cost(m_upstreams[best], aNow))) {
+    const bool hasFreeSlot = upstream.m_inFlight < LocalLimit(upstream);
+    if (hasFreeSlot && (best == kNone ||
+                        Cost(upstream, aNow) < Cost(m_upstreams[best], aNow))) {
       best = at;
     }
   }
@@ -280,52 +286,52 @@
 }
 
 std::size_t
-Router::ChooseIn(const Positions& aFrom,
-                 const std::set<RackId>& aAvoid,
-                 TimePoint aNow)
+Router::ChooseAmong(const Positions& aCandidates,
+                    const std::set<RackId>& aAvoidedRacks,
+                    TimePoint aNow)
 {
-  if (aFrom.empty()) {
+  if (aCandidates.empty()) {
     return kNone;
   }
   switch (m_options.m_policy) {
     case Policy::kRandom:
-      return SampleRandom(aFrom);
+      return SampleRandom(aCandidates);
     case Policy::kLeastOutstanding:
-      return ScanLeast(aFrom, aNow);
+      return ScanLeastLoaded(aCandidates, aNow);
     case Policy::kTwoChoices:
     case Policy::kOwnedSlots:
       break;
   }
-  return SampleTwo(aFrom, aAvoid, aNow);
+  return SampleTwo(aCandidates, aAvoidedRacks, aNow);
 }
 
 std::optional<Pick>
-Router::Choose(const std::set<RackId>& aAvoid, TimePoint aNow)
+Router::Choose(const std::set<RackId>& aAvoidedRacks, TimePoint aNow)
 {
   Refresh(aNow);
   if (m_usable.empty()) {
     return std::nullopt;
   }
-  const bool near = m_sameZoneFirst && !m_usableNear.empty();
+  const bool inZone = m_sameZoneFirst && !m_usableInZone.empty();
   std::size_t chosen = kNone;
   if (m_options.m_policy == Policy::kOwnedSlots) {
-    if (near) {
-      chosen = SampleOwned(m_usableNear, aAvoid, aNow);
+    if (inZone) {
+      chosen = SampleOwned(m_usableInZone, aAvoidedRacks, aNow);
     }
     if (chosen == kNone) {
-      chosen = SampleOwned(m_usable, aAvoid, aNow);
+      chosen = SampleOwned(m_usable, aAvoidedRacks, aNow);
     }
   }
-  if (chosen == kNone && near) {
-    chosen = ChooseIn(m_usableNear, aAvoid, aNow);
+  if (chosen == kNone && inZone) {
+    chosen = ChooseAmong(m_usableInZone, aAvoidedRacks, aNow);
   }
   if (chosen == kNone) {
-    chosen = ChooseIn(m_usable, aAvoid, aNow);
+    chosen = ChooseAmong(m_usable, aAvoidedRacks, aNow);
   }
   // Sampling can miss the last free slot, and a request may have failed in
-  // every rack; a full scan settles it, only when the service is nearly full.
+  // every rack. The full scan runs only when the service is nearly full.
   if (chosen == kNone) {
-    chosen = ScanLeast(m_usable, aNow);
+    chosen = ScanLeastLoaded(m_usable, aNow);
   }
   if (chosen == kNone) {
     return std::nullopt;
@@ -341,7 +347,7 @@
 void
 Router::Finish(const InstanceId& aInstance,
                Verdict aVerdict,
-               Duration aTook,
+               Duration aElapsed,
                TimePoint aNow)
 {
   const auto found = m_positions.find(aInstance);
@@ -356,56 +362,60 @@
   if (aVerdict == Verdict::kAbandoned) {
     return;
   }
-  const bool good = aVerdict == Verdict::kGood;
+  const bool isSuccess = aVerdict == Verdict::kGood;
   const double share = ErrorShare(upstream, aNow);
-  upstream.m_errorShare = share + kErrorGain * ((good ? 0.0 : 1.0) - share);
-  upstream.m_errorAt = aNow;
-  if (good) {
-    upstream.m_errorsInRow = 0;
+  upstream.m_errorShare =
+    share + kErrorGain * ((isSuccess ? 0.0 : 1.0) - share);
+  upstream.m_errorUpdatedAt = aNow;
+  if (isSuccess) {
+    upstream.m_consecutiveErrors = 0;
     upstream.m_ejections = 0;
-    Learn(aTook);
+    RecordServiceTime(aElapsed);
     return;
   }
-  ++upstream.m_errorsInRow;
-  if (upstream.m_errorsInRow >= m_options.m_ejectAfter) {
+  ++upstream.m_consecutiveErrors;
+  if (upstream.m_consecutiveErrors >= m_options.m_ejectionThreshold) {
     MaybeEject(upstream, aNow);
   }
 }
 
 void
-Router::Learn(Duration aTook)
+Router::RecordServiceTime(Duration aElapsed)
 {
-  const Duration off = aTook - m_meanTime;
-  m_meanTime += off / kMeanTimeShift;
-  m_deviation += (std::chrono::abs(off) - m_deviation) / kMeanTimeShift;
-  m_windowSum += std::chrono::duration<double>(aTook).count();
-  if (++m_windowCount == kWindow) {
-    CloseWindow();
+  const Duration deviation = aElapsed - m_meanTime;
+  m_meanTime += deviation / kMeanTimeDivisor;
+  m_meanDeviation +=
+    (std::chrono::abs(deviation) - m_meanDeviation) / kMeanTimeDivisor;
+  m_windowSum += std::chrono::duration<double>(aElapsed).count();
+  if (++m_windowCount == kWindowSize) {
+    EvaluateWindow();
   }
 }
 
-// Borrowing is good while others leave their slots idle. When all entries have
-// too much work, what each borrows only queues up at the upstreams, until every
-// answer comes too late (benchmark/slot_sharing.cpp). Longer answers than in
-// the best windows show such queues; the right to borrow is then halved, and
-// grows back slowly.
+// Borrowing helps while other entries leave their slots idle. When all entries
+// are overloaded, borrowed slots only make requests queue at the upstreams
+// until every answer comes too late (benchmark/slot_sharing.cpp). A mean time
+// well above that of the best windows indicates such queues; the borrow factor
+// is then halved and grows back slowly.
 void
-Router::CloseWindow()
+Router::EvaluateWindow()
 {
-  const double mean = m_windowSum / kWindow;
+  const double mean = m_windowSum / kWindowSize;
   m_windowSum = 0;
   m_windowCount = 0;
-  // The baseline creeps up, so that upstreams which became slower for good do
-  // not count as congested for ever.
-  m_baseline =
-    m_baseline == 0 ? mean : std::min(mean, m_baseline * kBaselineCreep);
-  const double before = m_lent;
-  m_lent = mean > m_baseline * kCongested ? m_lent * kLentCut
-                                          : std::min(1.0, m_lent + kLentGrowth);
-  if (m_lent < kLentLeast) {
-    m_lent = 0;
-  }
-  if (m_lent != before) {
+  // The baseline grows slowly, so that upstreams that became permanently slower
+  // do not count as congested forever.
+  m_baselineTime = m_baselineTime == 0
+                     ? mean
+                     : std::min(mean, m_baselineTime * kBaselineGrowth);
+  const double previous = m_borrowFactor;
+  m_borrowFactor = mean > m_baselineTime * kCongestionFactor
+                     ? m_borrowFactor * kBorrowDecrease
+                     : std::min(1.0, m_borrowFactor + kBorrowIncrease);
+  if (m_borrowFactor < kMinBorrowFactor) {
+    m_borrowFactor = 0;
+  }
+  if (m_borrowFactor != previous) {
     m_refreshAt.reset();
   }
 }
@@ -415,15 +425,15 @@
 {
   const std::size_t limit =
     static_cast<std::size_t>(m_routable) * m_ejectionCeilingPercent / 100;
-  // The ceiling: when everything fails, the fault is not the upstreams', and
-  // setting them all aside would be the outage.
+  // If all upstreams fail, the cause lies elsewhere, and ejecting all of them
+  // would itself cause an outage. The ceiling prevents that.
   if (aUpstream.m_ejectedUntil > aNow || EjectedCount(aNow) >= limit) {
     return;
   }
   aUpstream.m_ejections =
     std::min(aUpstream.m_ejections + 1, kMaxEjectionFactor);
   aUpstream.m_ejectedUntil =
-    aNow + m_options.m_ejectFor * aUpstream.m_ejections;
+    aNow + m_options.m_ejectionTime * aUpstream.m_ejections;
   m_refreshAt.reset();
 }
 
@@ -431,8 +441,8 @@
 Router::EjectedCount(TimePoint aNow) const
 {
   return std::count_if(
-    m_upstreams.begin(), m_upstreams.end(), [&](const Upstream& aOne) {
-      return aOne.m_routable && aOne.m_ejectedUntil > aNow;
+    m_upstreams.begin(), m_upstreams.end(), [&](const Upstream& aUpstream) {
+      return aUpstream.m_routable && aUpstream.m_ejectedUntil > aNow;
     });
 }
 
@@ -446,13 +456,13 @@
 std::vector<std::pair<InstanceId, std::uint32_t>>
 Router::Leftovers() const
 {
-  std::vector<std::pair<InstanceId, std::uint32_t>> left;
+  std::vector<std::pair<InstanceId, std::uint32_t>> inFlight;
   for (const Upstream& upstream : m_upstreams) {
     if (!upstream.m_routable && upstream.m_inFlight > 0) {
-      left.emplace_back(upstream.m_id, upstream.m_inFlight);
+      inFlight.emplace_back(upstream.m_id, upstream.m_inFlight);
     }
   }
-  return left;
+  return inFlight;
 }
 
 } // namespace bamboostile::routing
--- a/tests/unit/routing/router_test.cpp
+++ b/tests/unit/routing/router_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr TimePoint kStart{ std::chrono::hours{ 1 } };
-constexpr Duration kTook = Millis{ 5 };
+constexpr Duration kElapsed = Millis{ 5 };
 
 fleet::Instance
 Upstream(int aNumber, std::uint64_t aIncarnation = 1)
@@ -29,33 +29,33 @@
 }
 }
 
-/** Sends and finishes one request after another. */
+/** Sends aCount requests one after another, of which those to aFailing fail. */
 std::map<InstanceId, int>
-Send(Router& aRouter, int aCount, const InstanceId& aBad, TimePoint aNow)
+Send(Router& aRouter, int aCount, const InstanceId& aFailing, TimePoint aNow)
 {
   std::map<InstanceId, int> sent;
   for (int i = 0; i < aCount; ++i) {
     const auto pick = aRouter.Choose({}, aNow);
     ++sent[pick->m_instance];
-    const bool bad = pick->m_instance == aBad;
+    const bool fails = pick->m_instance == aFailing;
     aRouter.Finish(
-      pick->m_instance, bad ? Verdict::kBad : Verdict::kGood, kTook, aNow);
+      pick->m_instance, fails ? Verdict::kBad : Verdict::kGood, kElapsed, aNow);
   }
   return sent;
 }
 
 void
-FailInRow(Router& aRouter, const InstanceId& aId)
+FailUntilEjected(Router& aRouter, const InstanceId& aId)
 {
-  for (int i = 0; i < Options{}.m_ejectAfter; ++i) {
-    aRouter.Finish(aId, Verdict::kBad, kTook, kStart);
+  for (int i = 0; i < Options{}.m_ejectionThreshold; ++i) {
+    aRouter.Finish(aId, Verdict::kBad, kElapsed, kStart);
   }
 }
 }
 ;
 
-// An upstream that fails at once has its slots free at once, so by load alone
-// it would draw most of the work.
+// An upstream that fails quickly frees its slots quickly, so balancing by load
+// alone would send it most of the work.
 TEST(Router, UpstreamFailingQuickly_UnderLoad_DrawsLittleWork)
 {
   Router router({}, ZoneId{ "z0" });
@@ -65,21 +65,20 @@
   CHECK(sent.at(InstanceId{ "w3" }) < 20);
 }
 
-// One error long ago must not keep an upstream idle for ever: avoided, it has
-// no chance to show that it is well.
+// A single old error must not keep an upstream idle forever: while it is
+// avoided, no success can lower its error share.
 TEST(Router, SingleErrorLongAgo_LowLoad_UpstreamIsUsedAgain)
 {
   Router router({}, ZoneId{ "z0" });
   router.SetLimits(30, 50, false);
   Fill(router, 4);
-  router.Finish(InstanceId{ "w1" }, Verdict::kBad, kTook, kStart);
+  router.Finish(InstanceId{ "w1" }, Verdict::kBad, kElapsed, kStart);
   const TimePoint later = kStart + std::chrono::minutes{ 1 };
   const auto sent = Send(router, 200, InstanceId{ "none" }, later);
   CHECK(sent.contains(InstanceId{ "w1" }));
 }
 
-// Everything fails: the fault is not the upstreams'. Setting them all aside
-// would be the outage.
+// If all upstreams fail, ejecting all of them would itself cause an outage.
 TEST(Router, AllUpstreamsFailing_EjectionStopsAtCeiling)
 {
   Router router({}, ZoneId{ "z0" });
@@ -87,35 +86,35 @@
   Fill(router, 10);
   for (int i = 0; i < 1000; ++i) {
     const auto pick = router.Choose({}, kStart);
-    router.Finish(pick->m_instance, Verdict::kBad, kTook, kStart);
+    router.Finish(pick->m_instance, Verdict::kBad, kElapsed, kStart);
   }
   LONGS_EQUAL(3, router.EjectedCount(kStart));
   CHECK(router.Choose({}, kStart).has_value());
 }
 
-TEST(Router, EjectedUpstream_AfterItsTime_IsTriedAgain)
+TEST(Router, EjectedUpstream_AfterEjectionTime_IsUsedAgain)
 {
   Router router({}, ZoneId{ "z0" });
   router.SetLimits(30, 0, false);
   Fill(router, 4);
-  FailInRow(router, InstanceId{ "w1" });
+  FailUntilEjected(router, InstanceId{ "w1" });
   LONGS_EQUAL(1, router.EjectedCount(kStart));
   const TimePoint later = kStart + std::chrono::seconds{ 40 };
   const auto sent = Send(router, 400, InstanceId{ "none" }, later);
   CHECK(sent.contains(InstanceId{ "w1" }));
 }
 
-TEST(Router, NewLifeOfInstance_StartsWithoutOldErrors)
+TEST(Router, NewIncarnation_StartsWithoutOldErrors)
 {
   Router router({}, ZoneId{ "z0" });
   router.SetLimits(30, 0, false);
   Fill(router, 4);
-  FailInRow(router, InstanceId{ "w1" });
+  FailUntilEjected(router, InstanceId{ "w1" });
   router.Update(Upstream(1, 2), true);
   LONGS_EQUAL(0, router.EjectedCount(kStart));
 }
 
-TEST(Router, NotRoutableUpstream_GetsNothingAndShowsLeftovers)
+TEST(Router, NotRoutableUpstream_GetsNothingAndReportsInFlight)
 {
   Router router({}, ZoneId{ "z0" });
   Fill(router, 1);
@@ -123,22 +122,22 @@
   router.Update(Upstream(0), false);
   CHECK_FALSE(router.Choose({}, kStart).has_value());
   LONGS_EQUAL(1, router.Leftovers().size());
-  router.Finish(InstanceId{ "w0" }, Verdict::kGood, kTook, kStart);
+  router.Finish(InstanceId{ "w0" }, Verdict::kGood, kElapsed, kStart);
   LONGS_EQUAL(0, router.Leftovers().size());
 }
 
-TEST(Router, Retry_OtherRackThere_AvoidsFailedRack)
+TEST(Router, Retry_OtherRackAvailable_AvoidsFailedRack)
 {
   Router router({}, ZoneId{ "z0" });
   Fill(router, 8);
   for (int i = 0; i < 30; ++i) {
     const auto pick = router.Choose({ RackId{ "r0" } }, kStart);
     CHECK(pick->m_rack == RackId{ "r1" });
-    router.Finish(pick->m_instance, Verdict::kGood, kTook, kStart);
+    router.Finish(pick->m_instance, Verdict::kGood, kElapsed, kStart);
   }
 }
 
-TEST(Router, SameZoneFirst_RoomThere_StaysInZone)
+TEST(Router, SameZoneFirst_FreeCapacityInZone_StaysInZone)
 {
   Router router({}, ZoneId{ "z1" });
   router.SetLimits(30, 50, true);
@@ -151,9 +150,9 @@
   }
 }
 
-// All entries compute the owner of each slot alike, so together they own each
-// slot once.
-TEST(Router, OwnedSlots_OverAllEntries_AddUpToTheSlots)
+// Every entry computes the same owner for a slot, so each slot must be owned by
+// exactly one entry.
+TEST(Router, OwnedSlots_OverAllEntries_AddUpToAllSlots)
 {
   for (const std::uint32_t entries : { 1U, 3U, 8U, 12U }) {
     std::uint32_t owned = 0;
