--- a/include/bamboostile/settings/settings.h
+++ b/include/bamboostile/settings/settings.h
@@ -20,7 +20,7 @@
   bool operator==(const Address&) const = default;
 };
 
-/** Reads "IP:port"; empty where it is none. */
+/** Parses "IP:port"; returns nothing if the text is invalid. */
 std::optional<Address> ParseAddress(const std::string& aText);
 
 struct Limits
@@ -28,7 +28,7 @@
   std::uint64_t m_bodyBytes = 1024 * 1024;
   std::uint64_t m_headerBytes = 16 * 1024;
   Millis m_readTimeout{ 10'000 };
-  /** The longest deadline that a caller may ask for. */
+  /** Longest timeout that a caller may request. */
   Millis m_maxTimeout{ 60'000 };
   std::uint32_t m_connections = 4096;
 };
@@ -40,36 +40,37 @@
   double m_samplePercent = 100;
 };
 
-/** Where a hosting platform reaches this process, and where it is reached. */
+/** Addresses, limits and timings for running on a hosting platform. */
 struct Hosting
 {
-  /** Callers of queues, at an entry. */
+  /** Address of an entry for callers of queues. */
   std::optional<Address> m_callers;
   std::optional<Address> m_readiness;
-  /** Workers and the operator, at a control replica. */
+  /** Address of a control replica for workers and the operator. */
   std::optional<Address> m_workers;
-  /** The platform's own calls for instances. */
+  /** Address of the platform's API for instances. */
   std::optional<Address> m_instances;
-  /** RPC port of every control replica; replaces those of the seeds. */
+  /** RPC port of every control replica; replaces the ports of the seeds. */
   std::optional<std::uint16_t> m_rpcPort;
-  /** The whole system starts for the first time, on empty disks. */
+  /** Forms a new control group; set for the first start, on empty disks. */
   bool m_formGroup = false;
-  /** Replicas that may be lost at the same time; decides how many vote. */
+  /** Replicas that may be lost at the same time; determines the number of
+   * voters. */
   std::uint32_t m_toleratedLosses = 1;
-  /** Moves and maintenance orders that the platform takes from all replicas
-   * together. */
+  /** Moves and maintenance orders per second that the platform accepts from all
+   * replicas together. */
   double m_ordersPerSecond = 64;
-  /** Two leaders' orders for one instance must be so far apart. */
+  /** Minimum time between orders of two leaders for one instance. */
   Millis m_betweenLeaders{ 3000 };
-  /** How long the platform takes to move an instance to another pool. */
+  /** Time the platform needs to move an instance to another pool. */
   Millis m_moveTakes{ 1500 };
-  /** How long the platform keeps an instance down for its maintenance. */
+  /** Time for which maintenance by the platform keeps an instance down. */
   Millis m_maintenanceTakes{ 2000 };
 };
 
 struct Settings;
 
-/** The control replicas' addresses as RPC and logs take them. */
+/** Returns the control replicas' addresses as "IP:port". */
 std::vector<std::string> SeedsOf(const Settings& aSettings);
 
 struct Settings
@@ -93,7 +94,8 @@
   std::optional<Hosting> m_hosting;
 };
 
-/** What is wrong with a settings file: where, what was found, what may be. */
+/** Describes an invalid settings file: the field, its value and the allowed
+ * values. */
 struct Problem
 {
   std::string m_file;
@@ -102,14 +104,15 @@
   std::string m_allowed;
 };
 
-std::string ToText(const Problem& aProblem);
+std::string ToText(const Problem& aError);
 
-/** Reads and checks a file: against the JSON Schema, then for meaning. */
-std::optional<Settings> Load(const std::string& aFile, Problem& aProblem);
+/** Reads a file and validates it against the JSON Schema, then for consistency.
+ */
+std::optional<Settings> Load(const std::string& aFile, Problem& aError);
 
-/** The same for text at hand; aFile only names it in messages. */
+/** Validates settings text like Load(); aFile is only used in messages. */
 std::optional<Settings> Parse(const std::string& aText,
                               const std::string& aFile,
-                              Problem& aProblem);
+                              Problem& aError);
 
 } // namespace bamboostile::settings
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -22,15 +22,15 @@
 constexpr unsigned long kMaxPort = 65535;
 
 Problem
-MakeProblem(const std::string& aFile,
-            std::string aField,
-            std::string aValue,
-            std::string aAllowed)
+MakeError(const std::string& aFile,
+          std::string aField,
+          std::string aValue,
+          std::string aAllowed)
 {
   return { aFile, std::move(aField), std::move(aValue), std::move(aAllowed) };
 }
 
-/** valijson names places as "<root>[a][b]"; people write "a.b". */
+/** Converts valijson's "<root>[a][b]" to "a.b". */
 std::string
 FieldName(const std::string& aContext)
 {
@@ -68,7 +68,7 @@
 }
 
 bool
-CheckSchema(const Json& aJson, const std::string& aFile, Problem& aProblem)
+CheckSchema(const Json& aJson, const std::string& aFile, Problem& aError)
 {
   const Json schemaJson = Json::parse(kSettingsSchema);
   valijson::Schema schema;
@@ -81,46 +81,46 @@
   if (validator.validate(schema, target, &results)) {
     return true;
   }
-  // The deepest finding names the field; the others are the objects around.
-  valijson::ValidationResults::Error finding;
+  // The error with the deepest context names the field; the others name
+  // the enclosing objects.
+  valijson::ValidationResults::Error deepest;
   valijson::ValidationResults::Error next;
-  std::string where;
+  std::string deepestContext;
   while (results.popError(next)) {
     std::string context;
     for (const std::string& part : next.context) {
       context += part;
     }
-    if (where.empty() || context.size() >= where.size()) {
-      where = context;
-      finding = next;
+    if (deepestContext.empty() || context.size() >= deepestContext.size()) {
+      deepestContext = context;
+      deepest = next;
     }
   }
-  const std::string field = FieldName(where);
-  aProblem =
-    MakeProblem(aFile, field, ValueAt(aJson, field), finding.description);
+  const std::string field = FieldName(deepestContext);
+  aError = MakeError(aFile, field, ValueAt(aJson, field), deepest.description);
   return false;
 }
 
 template<typename T>
 void
-Take(const Json& aJson, const char* aKey, T& aTo)
+ReadIfPresent(const Json& aJson, const char* aKey, T& aTarget)
 {
   if (aJson.contains(aKey)) {
-    aTo = aJson.at(aKey).get<T>();
+    aTarget = aJson.at(aKey).get<T>();
   }
 }
 
 void
-TakeSeconds(const Json& aJson, const char* aKey, Millis& aTo)
+ReadSeconds(const Json& aJson, const char* aKey, Millis& aTarget)
 {
   if (aJson.contains(aKey)) {
     const std::chrono::duration<double> seconds{ aJson.at(aKey).get<double>() };
-    aTo = std::chrono::ceil<Millis>(seconds);
+    aTarget = std::chrono::ceil<Millis>(seconds);
   }
 }
 
 std::optional<std::string>
-TakeText(const Json& aJson, const char* aKey)
+ReadText(const Json& aJson, const char* aKey)
 {
   return aJson.contains(aKey)
            ? std::optional{ aJson.at(aKey).get<std::string>() }
@@ -131,15 +131,15 @@
 ReadLimits(const Json& aJson)
 {
   Limits limits;
-  std::int64_t read = limits.m_readTimeout.count();
-  std::int64_t longest = limits.m_maxTimeout.count();
-  Take(aJson, "bodyBytes", limits.m_bodyBytes);
-  Take(aJson, "headerBytes", limits.m_headerBytes);
-  Take(aJson, "connections", limits.m_connections);
-  Take(aJson, "readTimeoutMs", read);
-  Take(aJson, "maxTimeoutMs", longest);
-  limits.m_readTimeout = Millis{ read };
-  limits.m_maxTimeout = Millis{ longest };
+  std::int64_t readTimeoutMs = limits.m_readTimeout.count();
+  std::int64_t maxTimeoutMs = limits.m_maxTimeout.count();
+  ReadIfPresent(aJson, "bodyBytes", limits.m_bodyBytes);
+  ReadIfPresent(aJson, "headerBytes", limits.m_headerBytes);
+  ReadIfPresent(aJson, "connections", limits.m_connections);
+  ReadIfPresent(aJson, "readTimeoutMs", readTimeoutMs);
+  ReadIfPresent(aJson, "maxTimeoutMs", maxTimeoutMs);
+  limits.m_readTimeout = Millis{ readTimeoutMs };
+  limits.m_maxTimeout = Millis{ maxTimeoutMs };
   return limits;
 }
 
@@ -147,12 +147,12 @@
 ReadAddresses(const Json& aJson,
               const std::string& aFile,
               Settings& aSettings,
-              Problem& aProblem)
+              Problem& aError)
 {
   const auto read = [&](const Json& aText, const std::string& aField) {
     auto address = ParseAddress(aText.get<std::string>());
     if (!address) {
-      aProblem = MakeProblem(
+      aError = MakeError(
         aFile, aField, aText.dump(), "an IP address and a port, 1 to 65535");
     }
     return address;
@@ -174,41 +174,41 @@
   if (aJson.contains("platform")) {
     aSettings.m_platform = read(aJson.at("platform"), "platform");
   }
-  return aProblem.m_field.empty();
+  return aError.m_field.empty();
 }
 
 bool
 ReadHosting(const Json& aJson,
             const std::string& aFile,
             Settings& aSettings,
-            Problem& aProblem)
+            Problem& aError)
 {
   if (!aJson.contains("hosting")) {
     return true;
   }
   const Json& from = aJson.at("hosting");
   Hosting& to = aSettings.m_hosting.emplace();
-  const auto read = [&](const char* aKey, std::optional<Address>& aTo) {
+  const auto read = [&](const char* aKey, std::optional<Address>& aTarget) {
     if (!from.contains(aKey)) {
       return;
     }
-    aTo = ParseAddress(from.at(aKey).get<std::string>());
-    if (!aTo) {
-      aProblem = MakeProblem(aFile,
-                             std::string{ "hosting." } + aKey,
-                             from.at(aKey).dump(),
-                             "an IP address and a port, 1 to 65535");
+    aTarget = ParseAddress(from.at(aKey).get<std::string>());
+    if (!aTarget) {
+      aError = MakeError(aFile,
+                         std::string{ "hosting." } + aKey,
+                         from.at(aKey).dump(),
+                         "an IP address and a port, 1 to 65535");
     }
   };
   read("callers", to.m_callers);
   read("readiness", to.m_readiness);
   read("workers", to.m_workers);
   read("instances", to.m_instances);
-  Take(from, "formGroup", to.m_formGroup);
-  Take(from, "toleratedLosses", to.m_toleratedLosses);
-  Take(from, "ordersPerSecond", to.m_ordersPerSecond);
-  TakeSeconds(from, "maintenanceSeconds", to.m_maintenanceTakes);
-  TakeSeconds(from, "moveSeconds", to.m_moveTakes);
+  ReadIfPresent(from, "formGroup", to.m_formGroup);
+  ReadIfPresent(from, "toleratedLosses", to.m_toleratedLosses);
+  ReadIfPresent(from, "ordersPerSecond", to.m_ordersPerSecond);
+  ReadSeconds(from, "maintenanceSeconds", to.m_maintenanceTakes);
+  ReadSeconds(from, "moveSeconds", to.m_moveTakes);
   to.m_betweenLeaders =
     Millis{ from.value("leaderGapMs", to.m_betweenLeaders.count()) };
   if (from.contains("rpcPort")) {
@@ -217,44 +217,44 @@
       seed.m_port = *to.m_rpcPort;
     }
   }
-  return aProblem.m_field.empty();
+  return aError.m_field.empty();
 }
 
 bool
-CheckMeaning(const Settings& aSettings,
-             const std::string& aFile,
-             Problem& aProblem)
+CheckConsistency(const Settings& aSettings,
+                 const std::string& aFile,
+                 Problem& aError)
 {
   if (aSettings.m_control && !aSettings.m_rpc) {
-    aProblem = MakeProblem(
-      aFile, "rpc", "(missing)", "an address, as the role control needs one");
+    aError = MakeError(
+      aFile, "rpc", "(missing)", "an address; the role control requires one");
     return false;
   }
-  // On a hosting platform, instances without a disk serve as control too.
+  // On a hosting platform, control replicas may run without a disk.
   if (aSettings.m_control && !aSettings.m_dataFolder && !aSettings.m_hosting) {
-    aProblem = MakeProblem(aFile,
-                           "dataFolder",
-                           "(missing)",
-                           "a folder on a disk, as the role control needs one");
+    aError = MakeError(aFile,
+                       "dataFolder",
+                       "(missing)",
+                       "a folder on a disk; the role control requires one");
     return false;
   }
   const bool isHostedEntry =
     aSettings.m_hosting && aSettings.m_hosting->m_callers;
   if (aSettings.m_entry && !aSettings.m_http && !isHostedEntry) {
-    aProblem = MakeProblem(
-      aFile, "http", "(missing)", "an address, as the role entry needs one");
+    aError = MakeError(
+      aFile, "http", "(missing)", "an address; the role entry requires one");
     return false;
   }
   if (aSettings.m_rpc && aSettings.m_http &&
       *aSettings.m_rpc == *aSettings.m_http) {
-    aProblem = MakeProblem(aFile,
-                           "http",
-                           aSettings.m_http->ToText(),
-                           "an address that differs from rpc");
+    aError = MakeError(aFile,
+                       "http",
+                       aSettings.m_http->ToText(),
+                       "an address that differs from rpc");
     return false;
   }
   if (aSettings.m_trace.m_file && aSettings.m_trace.m_url) {
-    aProblem = MakeProblem(
+    aError = MakeError(
       aFile, "trace.url", *aSettings.m_trace.m_url, "either url or file");
     return false;
   }
@@ -278,19 +278,21 @@
   }
   std::string host = aText.substr(0, colon);
   const std::string port = aText.substr(colon + 1);
-  const bool digits = !port.empty() && port.size() <= 5 &&
-                      port.find_first_not_of("0123456789") == std::string::npos;
-  if (!digits || std::stoul(port) == 0 || std::stoul(port) > kMaxPort) {
+  const bool isNumber =
+    !port.empty() && port.size() <= 5 &&
+    port.find_first_not_of("0123456789") == std::string::npos;
+  if (!isNumber || std::stoul(port) == 0 || std::stoul(port) > kMaxPort) {
     return std::nullopt;
   }
-  std::string bare = host;
-  if (bare.size() > 2 && bare.front() == '[' && bare.back() == ']') {
-    bare = bare.substr(1, bare.size() - 2);
+  std::string unbracketed = host;
+  if (unbracketed.size() > 2 && unbracketed.front() == '[' &&
+      unbracketed.back() == ']') {
+    unbracketed = unbracketed.substr(1, unbracketed.size() - 2);
   }
-  in_addr four{};
-  in6_addr six{};
-  if (inet_pton(AF_INET, bare.c_str(), &four) != 1 &&
-      inet_pton(AF_INET6, bare.c_str(), &six) != 1) {
+  in_addr ipv4{};
+  in6_addr ipv6{};
+  if (inet_pton(AF_INET, unbracketed.c_str(), &ipv4) != 1 &&
+      inet_pton(AF_INET6, unbracketed.c_str(), &ipv6) != 1) {
     return std::nullopt;
   }
   return Address{ std::move(host),
@@ -298,40 +300,40 @@
 }
 
 std::string
-ToText(const Problem& aProblem)
+ToText(const Problem& aError)
 {
-  return aProblem.m_file + ": " + aProblem.m_field + ": found " +
-         aProblem.m_value + "; allowed: " + aProblem.m_allowed;
+  return aError.m_file + ": " + aError.m_field + ": found " + aError.m_value +
+         "; allowed: " + aError.m_allowed;
 }
 
 std::optional<Settings>
-Load(const std::string& aFile, Problem& aProblem)
+Load(const std::string& aFile, Problem& aError)
 {
   std::ifstream in(aFile);
   if (!in) {
-    aProblem =
-      MakeProblem(aFile, "(file)", "nothing readable", "a readable JSON file");
+    aError =
+      MakeError(aFile, "(file)", "no readable file", "a readable JSON file");
     return std::nullopt;
   }
   std::ostringstream text;
   text << in.rdbuf();
-  return Parse(text.str(), aFile, aProblem);
+  return Parse(text.str(), aFile, aError);
 }
 
 std::optional<Settings>
-Parse(const std::string& aText, const std::string& aFile, Problem& aProblem)
+Parse(const std::string& aText, const std::string& aFile, Problem& aError)
 {
   Json json;
   try {
     json = Json::parse(aText);
   } catch (const Json::parse_error& error) {
-    aProblem = MakeProblem(aFile,
-                           "(byte " + std::to_string(error.byte) + ")",
-                           "no JSON there",
-                           "a JSON object");
+    aError = MakeError(aFile,
+                       "(byte " + std::to_string(error.byte) + ")",
+                       "invalid JSON",
+                       "a JSON object");
     return std::nullopt;
   }
-  if (!CheckSchema(json, aFile, aProblem)) {
+  if (!CheckSchema(json, aFile, aError)) {
     return std::nullopt;
   }
   Settings settings;
@@ -342,26 +344,27 @@
     settings.m_control = settings.m_control || role == "control";
     settings.m_entry = settings.m_entry || role == "entry";
   }
-  if (!ReadAddresses(json, aFile, settings, aProblem) ||
-      !ReadHosting(json, aFile, settings, aProblem)) {
+  if (!ReadAddresses(json, aFile, settings, aError) ||
+      !ReadHosting(json, aFile, settings, aError)) {
     return std::nullopt;
   }
-  settings.m_dataFolder = TakeText(json, "dataFolder");
-  Take(json, "snapshotEvery", settings.m_snapshotEvery);
+  settings.m_dataFolder = ReadText(json, "dataFolder");
+  ReadIfPresent(json, "snapshotEvery", settings.m_snapshotEvery);
   for (const Json& name : json.value("mechanismsOff", Json::array())) {
-    if (const auto off = placement::MechanismOf(name.get<std::string>())) {
-      settings.m_mechanisms.SwitchOff(*off);
+    if (const auto mechanism =
+          placement::MechanismOf(name.get<std::string>())) {
+      settings.m_mechanisms.SwitchOff(*mechanism);
     }
   }
   settings.m_limits = ReadLimits(json.value("limits", Json::object()));
   const Json log = json.value("log", Json::object());
-  Take(log, "level", settings.m_logLevel);
-  settings.m_logFile = TakeText(log, "file");
+  ReadIfPresent(log, "level", settings.m_logLevel);
+  settings.m_logFile = ReadText(log, "file");
   const Json trace = json.value("trace", Json::object());
-  settings.m_trace.m_file = TakeText(trace, "file");
-  settings.m_trace.m_url = TakeText(trace, "url");
-  Take(trace, "samplePercent", settings.m_trace.m_samplePercent);
-  if (!CheckMeaning(settings, aFile, aProblem)) {
+  settings.m_trace.m_file = ReadText(trace, "file");
+  settings.m_trace.m_url = ReadText(trace, "url");
+  ReadIfPresent(trace, "samplePercent", settings.m_trace.m_samplePercent);
+  if (!CheckConsistency(settings, aFile, aError)) {
     return std::nullopt;
   }
   return settings;
--- a/tests/unit/settings/settings_test.cpp
+++ b/tests/unit/settings/settings_test.cpp
@@ -9,21 +9,21 @@
 
 TEST_GROUP(Settings)
 {
-  Json m_sound = Json::parse(R"({
+  Json m_valid = Json::parse(R"({
     "instance": "e1", "zone": "west-1", "roles": ["entry"],
     "control": ["127.0.0.1:7101"], "http": "127.0.0.1:8080"
   })");
 
-  std::string ProblemWith(const Json& aJson)
+  std::string ErrorIn(const Json& aJson)
   {
-    settings::Problem problem;
-    const auto settings = settings::Parse(aJson.dump(), "file.json", problem);
-    return settings ? "" : settings::ToText(problem);
+    settings::Problem error;
+    const auto settings = settings::Parse(aJson.dump(), "file.json", error);
+    return settings ? "" : settings::ToText(error);
   }
 
-  void Names(const Json& aJson, const char* aField, const char* aValue)
+  void ExpectError(const Json& aJson, const char* aField, const char* aValue)
   {
-    const std::string text = ProblemWith(aJson);
+    const std::string text = ErrorIn(aJson);
     const std::string start =
       std::string{ "file.json: " } + aField + ": found " + aValue;
     CHECK_STRING(start, text.substr(0, start.size()));
@@ -31,78 +31,78 @@
   }
 };
 
-TEST(Settings, Sound_Parsed_HasNoProblem)
+TEST(Settings, ValidSettings_Parsed_HaveNoError)
 {
-  CHECK_STRING("", ProblemWith(m_sound));
+  CHECK_STRING("", ErrorIn(m_valid));
 }
 
 TEST(Settings, WrongType_NamesFieldAndValue)
 {
-  m_sound["zone"] = 7;
-  Names(m_sound, "zone", "7");
+  m_valid["zone"] = 7;
+  ExpectError(m_valid, "zone", "7");
 }
 
 TEST(Settings, NestedField_OutOfRange_IsNamed)
 {
-  m_sound["limits"] = { { "bodyBytes", 0 } };
-  Names(m_sound, "limits.bodyBytes", "0");
+  m_valid["limits"] = { { "bodyBytes", 0 } };
+  ExpectError(m_valid, "limits.bodyBytes", "0");
 }
 
 TEST(Settings, UnknownRole_IsNamed)
 {
-  m_sound["roles"] = { "worker" };
-  Names(m_sound, "roles.0", "\"worker\"");
+  m_valid["roles"] = { "worker" };
+  ExpectError(m_valid, "roles.0", "\"worker\"");
 }
 
 TEST(Settings, PortOutOfRange_IsNamed)
 {
-  m_sound["control"] = { "127.0.0.1:70000" };
-  Names(m_sound, "control.0", "\"127.0.0.1:70000\"");
+  m_valid["control"] = { "127.0.0.1:70000" };
+  ExpectError(m_valid, "control.0", "\"127.0.0.1:70000\"");
 }
 
 TEST(Settings, ControlWithoutDisk_IsNamed)
 {
-  m_sound["roles"] = { "control" };
-  m_sound["rpc"] = "127.0.0.1:7101";
-  Names(m_sound, "dataFolder", "(missing)");
+  m_valid["roles"] = { "control" };
+  m_valid["rpc"] = "127.0.0.1:7101";
+  ExpectError(m_valid, "dataFolder", "(missing)");
 }
 
-TEST(Settings, PortsThatClash_AreNamed)
+TEST(Settings, ConflictingPorts_AreNamed)
 {
-  m_sound["rpc"] = "127.0.0.1:8080";
-  Names(m_sound, "http", "127.0.0.1:8080");
+  m_valid["rpc"] = "127.0.0.1:8080";
+  ExpectError(m_valid, "http", "127.0.0.1:8080");
 }
 
-TEST(Settings, NotJson_NamesThePlace)
+TEST(Settings, NotJson_ReportsByteOffset)
 {
-  settings::Problem problem;
-  CHECK_FALSE(settings::Parse("{\"instance\": ", "f", problem).has_value());
-  CHECK_STRING("(byte 14)", problem.m_field);
+  settings::Problem error;
+  CHECK_FALSE(settings::Parse("{\"instance\": ", "f", error).has_value());
+  CHECK_STRING("(byte 14)", error.m_field);
 }
 
 TEST(Settings, UnknownField_IsRefused)
 {
-  m_sound["upstreams"] = Json::array();
-  CHECK(ProblemWith(m_sound).find("upstreams") != std::string::npos);
+  m_valid["upstreams"] = Json::array();
+  CHECK(ErrorIn(m_valid).find("upstreams") != std::string::npos);
 }
 
-TEST(Settings, ControlWithoutFolder_SoundOnlyOnAHostingPlatform)
+TEST(Settings, ControlWithoutFolder_ValidOnlyOnHostingPlatform)
 {
-  m_sound["roles"] = { "control" };
-  m_sound["rpc"] = "127.0.0.1:7101";
-  Names(m_sound, "dataFolder", "(missing)");
-  m_sound["hosting"] = Json::object();
-  CHECK_STRING("", ProblemWith(m_sound));
+  m_valid["roles"] = { "control" };
+  m_valid["rpc"] = "127.0.0.1:7101";
+  ExpectError(m_valid, "dataFolder", "(missing)");
+  m_valid["hosting"] = Json::object();
+  CHECK_STRING("", ErrorIn(m_valid));
 }
 
 TEST(Settings, MechanismOff_IsReadAndAnUnknownOneIsNamed)
 {
   using placement::Mechanism;
-  m_sound["mechanismsOff"] = { "moves" };
-  settings::Problem problem;
-  const auto settings = settings::Parse(m_sound.dump(), "f", problem);
+  m_valid["mechanismsOff"] = { "moves" };
+  settings::Problem error;
+  const auto settings = settings::Parse(m_valid.dump(), "f", error);
   CHECK_FALSE(settings->m_mechanisms.Has(Mechanism::kMoves));
   CHECK(settings->m_mechanisms.Has(Mechanism::kStandby));
-  m_sound["mechanismsOff"] = { "magic" };
-  Names(m_sound, "mechanismsOff.0", "\"magic\"");
+  m_valid["mechanismsOff"] = { "magic" };
+  ExpectError(m_valid, "mechanismsOff.0", "\"magic\"");
 }
