--- a/include/bamboostile/telemetry/log.h
+++ b/include/bamboostile/telemetry/log.h
@@ -17,14 +17,14 @@
 
 std::optional<Level> ParseLevel(const std::string& aName);
 
-/** Call once, before any thread logs. Without a file, lines go to standard
- * error. */
+/** Must be called once, before any thread logs. Without a file, lines go to
+ * standard error. */
 void InitLog(const std::string& aInstance,
              Level aLevel,
              const std::optional<std::string>& aFile);
 
 /**
- * @brief One log line: a JSON object on a line of its own.
+ * @brief A log line: a JSON object on a line of its own.
  *
  * Usage: `LogLine(Level::kInfo, "lease lost").With("request", id).Write();`
  */
--- a/include/bamboostile/telemetry/log_limit.h
+++ b/include/bamboostile/telemetry/log_limit.h
@@ -9,8 +9,8 @@
 namespace bamboostile::telemetry {
 
 /**
- * @brief Lets one line of a kind through in each interval and counts the
- * others, so that what another process sends cannot fill the log.
+ * @brief Admits one line of a kind per interval and counts the suppressed ones,
+ * so that messages from another process cannot flood the log.
  */
 class LogLimit
 {
@@ -20,21 +20,22 @@
   {
   }
 
-  /** How many were left out since the last line; nothing where this one is. */
+  /** Returns the number of lines suppressed since the last one, or nothing if
+   * this line is suppressed too. */
   std::optional<std::uint64_t> Admit(TimePoint aNow)
   {
-    if (aNow < m_next) {
-      ++m_leftOut;
+    if (aNow < m_nextAt) {
+      ++m_suppressed;
       return std::nullopt;
     }
-    m_next = aNow + m_interval;
-    return std::exchange(m_leftOut, 0);
+    m_nextAt = aNow + m_interval;
+    return std::exchange(m_suppressed, 0);
   }
 
 private:
   Duration m_interval;
-  TimePoint m_next;
-  std::uint64_t m_leftOut = 0;
+  TimePoint m_nextAt;
+  std::uint64_t m_suppressed = 0;
 };
 
 } // namespace bamboostile::telemetry
--- a/include/bamboostile/telemetry/metrics.h
+++ b/include/bamboostile/telemetry/metrics.h
@@ -9,8 +9,8 @@
 /**
  * @brief Counters, gauges and latency summaries of one thread.
  *
- * Names carry their labels, as in `requests_total{outcome="done"}`. The
- * quantiles are estimates by the P-square method of Boost.Accumulators.
+ * Names include their labels, as in `requests_total{outcome="done"}`. Quantiles
+ * are estimated with the P-square algorithm of Boost.Accumulators.
  */
 class Metrics
 {
@@ -24,7 +24,7 @@
   void Set(const std::string& aName, double aValue);
   void Observe(const std::string& aName, double aSeconds);
 
-  /** Prometheus text format, version 0.0.4. */
+  /** Returns all metrics in the Prometheus text format, version 0.0.4. */
   std::string Render() const;
 
 private:
--- a/include/bamboostile/telemetry/trace.h
+++ b/include/bamboostile/telemetry/trace.h
@@ -9,7 +9,7 @@
 
 namespace bamboostile::telemetry {
 
-/** A W3C trace context: 128 bits of trace, 64 of span. */
+/** A W3C trace context: a trace id of 128 bits and a span id of 64 bits. */
 struct TraceContext
 {
   std::uint64_t m_traceHigh = 0;
@@ -22,11 +22,11 @@
     return (m_traceHigh != 0 || m_traceLow != 0) && m_span != 0;
   }
   std::string ToTraceParent() const;
-  /** An invalid context where the text is no traceparent of version 00. */
+  /** Returns an invalid context if aText is no traceparent of version 00. */
   static TraceContext FromTraceParent(const std::string& aText);
 };
 
-/** Takes one OTLP/JSON document (an ExportTraceServiceRequest). */
+/** Receives one OTLP/JSON document (an ExportTraceServiceRequest) per call. */
 using SpanSink = std::function<void(std::string)>;
 
 struct TracerOptions
@@ -37,21 +37,23 @@
   std::uint64_t m_seed = 0;
 };
 
-/** An OpenTracing tracer that reads and writes `traceparent` and hands
- * finished spans to aSink in batches. Close() hands over the rest. Finished
- * spans may come from any thread; aSink is called under a lock. */
+/** Returns an OpenTracing tracer that reads and writes `traceparent` and passes
+ * finished spans to aSink in batches; Close() flushes the last batch. Spans may
+ * finish on any thread; aSink is called under a lock. */
 std::shared_ptr<opentracing::Tracer> MakeTracer(TracerOptions aOptions,
                                                 SpanSink aSink);
 
-/** The context of a span that MakeTracer's tracer made. */
+/** Returns the context of a span, which a tracer from MakeTracer() must have
+ * started; for other spans, an invalid context. */
 TraceContext ContextOf(const opentracing::Span& aSpan);
 
-/** Starts a span below a context that came from outside. */
+/** Starts a child span of a context received from another process, or a new
+ * trace if that context is invalid. */
 std::unique_ptr<opentracing::Span> StartSpanBelow(opentracing::Tracer& aTracer,
                                                   const std::string& aName,
                                                   const TraceContext& aParent);
 
-/** Appends each document as a line. */
+/** Returns a sink that appends each document to aFile as a line. */
 SpanSink MakeFileSink(const std::string& aFile);
 
 } // namespace bamboostile::telemetry
--- a/src/telemetry/log.cpp
+++ b/src/telemetry/log.cpp
@@ -96,8 +96,8 @@
   m_json["time"] = Timestamp();
   m_json["level"] = NameOf(m_level);
   m_json["instance"] = g_instance;
-  // Callers' bytes end up in fields; what is not UTF-8 is replaced, so that a
-  // hostile header cannot break the log or throw here.
+  // Fields may contain bytes from callers. Invalid UTF-8 is replaced, so that a
+  // malicious header cannot corrupt the log or cause an exception here.
   const std::string text =
     m_json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   switch (m_level) {
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -29,26 +29,26 @@
 constexpr const char* kPrefix = "bamboostile_";
 
 std::string
-BareName(const std::string& aName)
+NameWithoutLabels(const std::string& aName)
 {
   return aName.substr(0, aName.find('{'));
 }
 
 std::string
-Suffixed(const std::string& aName, const char* aSuffix)
+WithSuffix(const std::string& aName, const char* aSuffix)
 {
-  const std::string bare = BareName(aName);
-  return kPrefix + bare + aSuffix + aName.substr(bare.size());
+  const std::string baseName = NameWithoutLabels(aName);
+  return kPrefix + baseName + aSuffix + aName.substr(baseName.size());
 }
 
 std::string
 WithQuantile(const std::string& aName, double aQuantile)
 {
-  const std::string bare = BareName(aName);
+  const std::string baseName = NameWithoutLabels(aName);
   std::ostringstream text;
-  text << kPrefix << bare << "{quantile=\"" << aQuantile << "\"";
-  if (bare.size() < aName.size()) {
-    text << "," << aName.substr(bare.size() + 1);
+  text << kPrefix << baseName << "{quantile=\"" << aQuantile << "\"";
+  if (baseName.size() < aName.size()) {
+    text << "," << aName.substr(baseName.size() + 1);
   } else {
     text << "}";
   }
@@ -56,16 +56,16 @@
 }
 
 void
-RenderPlain(std::ostringstream& aText,
-            const std::map<std::string, double>& aValues,
-            const char* aType)
+RenderValues(std::ostringstream& aText,
+             const std::map<std::string, double>& aValues,
+             const char* aType)
 {
-  std::string last;
+  std::string lastBaseName;
   for (const auto& [name, value] : aValues) {
-    const std::string bare = BareName(name);
-    if (bare != last) {
-      aText << "# TYPE " << kPrefix << bare << " " << aType << "\n";
-      last = bare;
+    const std::string baseName = NameWithoutLabels(name);
+    if (baseName != lastBaseName) {
+      aText << "# TYPE " << kPrefix << baseName << " " << aType << "\n";
+      lastBaseName = baseName;
     }
     aText << kPrefix << name << " " << value << "\n";
   }
@@ -110,14 +110,14 @@
 {
   std::ostringstream text;
   text.precision(12);
-  RenderPlain(text, m_counters, "counter");
-  RenderPlain(text, m_gauges, "gauge");
-  std::string last;
+  RenderValues(text, m_counters, "counter");
+  RenderValues(text, m_gauges, "gauge");
+  std::string lastBaseName;
   for (const auto& [name, summary] : m_summaries) {
-    const std::string bare = BareName(name);
-    if (bare != last) {
-      text << "# TYPE " << kPrefix << bare << " summary\n";
-      last = bare;
+    const std::string baseName = NameWithoutLabels(name);
+    if (baseName != lastBaseName) {
+      text << "# TYPE " << kPrefix << baseName << " summary\n";
+      lastBaseName = baseName;
     }
     for (const double quantile : kQuantiles) {
       text << WithQuantile(name, quantile) << " "
@@ -125,9 +125,9 @@
                             acc::quantile_probability = quantile)
            << "\n";
     }
-    text << Suffixed(name, "_sum") << " " << acc::sum(summary->m_values)
+    text << WithSuffix(name, "_sum") << " " << acc::sum(summary->m_values)
          << "\n";
-    text << Suffixed(name, "_count") << " " << acc::count(summary->m_values)
+    text << WithSuffix(name, "_count") << " " << acc::count(summary->m_values)
          << "\n";
   }
   return text.str();
--- a/src/telemetry/trace.cpp
+++ b/src/telemetry/trace.cpp
@@ -16,7 +16,7 @@
 namespace ot = opentracing;
 using Json = nlohmann::json;
 
-constexpr const char* kHeader = "traceparent";
+constexpr const char* kTraceParentHeader = "traceparent";
 constexpr std::size_t kTraceParentLength = 55;
 
 std::string
@@ -32,11 +32,11 @@
 
 bool
 ParseHex(const std::string& aText,
-         std::size_t aAt,
+         std::size_t aOffset,
          std::size_t aCount,
          std::uint64_t& aValue)
 {
-  const char* begin = aText.data() + aAt;
+  const char* begin = aText.data() + aOffset;
   const auto [end, error] = std::from_chars(begin, begin + aCount, aValue, 16);
   return error == std::errc{} && end == begin + aCount;
 }
@@ -69,14 +69,14 @@
   return Json{ { "key", aKey }, { "value", value } };
 }
 
-/** Collects finished spans and hands them on in batches. */
+/** Collects finished spans and passes them to the sink in batches. */
 class Exporter
 {
 public:
   Exporter(TracerOptions aOptions, SpanSink aSink)
     : m_options(std::move(aOptions))
     , m_sink(std::move(aSink))
-    , m_state(m_options.m_seed * 0x9E3779B97F4A7C15ULL + 1)
+    , m_idState(m_options.m_seed * 0x9E3779B97F4A7C15ULL + 1)
   {
   }
 
@@ -98,17 +98,17 @@
   std::uint64_t NewId()
   {
     constexpr std::uint64_t kStep = 0x9E3779B97F4A7C15ULL;
-    std::uint64_t id = m_state.fetch_add(kStep);
+    std::uint64_t id = m_idState.fetch_add(kStep);
     id = (id ^ (id >> 30)) * 0xBF58476D1CE4E5B9ULL;
     id = (id ^ (id >> 27)) * 0x94D049BB133111EBULL;
     return (id ^ (id >> 31)) | 1;
   }
 
-  bool Samples(std::uint64_t aTrace) const
+  bool IsSampled(std::uint64_t aTrace) const
   {
-    constexpr std::uint64_t kParts = 10'000;
-    return static_cast<double>(aTrace % kParts) <
-           m_options.m_samplePercent * kParts / 100;
+    constexpr std::uint64_t kSampleBuckets = 10'000;
+    return static_cast<double>(aTrace % kSampleBuckets) <
+           m_options.m_samplePercent * kSampleBuckets / 100;
   }
 
 private:
@@ -142,7 +142,7 @@
   SpanSink m_sink;
   std::mutex m_mutex;
   std::vector<Json> m_spans;
-  std::atomic<std::uint64_t> m_state;
+  std::atomic<std::uint64_t> m_idState;
 };
 
 class Context final : public ot::SpanContext
@@ -292,15 +292,15 @@
     TraceContext context;
     std::uint64_t parent = 0;
     for (const auto& [type, reference] : aOptions.references) {
-      if (const auto* known = dynamic_cast<const Context*>(reference)) {
-        context = known->Get();
+      if (const auto* own = dynamic_cast<const Context*>(reference)) {
+        context = own->Get();
         parent = context.m_span;
       }
     }
     if (parent == 0) {
       context.m_traceHigh = m_exporter->NewId();
       context.m_traceLow = m_exporter->NewId();
-      context.m_sampled = m_exporter->Samples(context.m_traceLow);
+      context.m_sampled = m_exporter->IsSampled(context.m_traceLow);
     }
     context.m_span = m_exporter->NewId();
     return std::make_unique<Span>(
@@ -316,11 +316,11 @@
   ot::expected<void> Inject(const ot::SpanContext& aContext,
                             const ot::TextMapWriter& aWriter) const override
   {
-    const auto* known = dynamic_cast<const Context*>(&aContext);
-    if (known == nullptr) {
+    const auto* own = dynamic_cast<const Context*>(&aContext);
+    if (own == nullptr) {
       return ot::make_unexpected(ot::invalid_span_context_error);
     }
-    return aWriter.Set(kHeader, known->Get().ToTraceParent());
+    return aWriter.Set(kTraceParentHeader, own->Get().ToTraceParent());
   }
 
   ot::expected<void> Inject(const ot::SpanContext& aContext,
@@ -341,7 +341,7 @@
     TraceContext context;
     aReader.ForeachKey(
       [&](ot::string_view aKey, ot::string_view aValue) -> ot::expected<void> {
-        if (std::string{ aKey } == kHeader) {
+        if (std::string{ aKey } == kTraceParentHeader) {
           context = TraceContext::FromTraceParent(aValue);
         }
         return {};
@@ -378,13 +378,13 @@
 {
   TraceContext context;
   std::uint64_t flags = 0;
-  const bool sound =
+  const bool isValid =
     aText.size() == kTraceParentLength && aText.rfind("00-", 0) == 0 &&
     aText[35] == '-' && aText[52] == '-' &&
     ParseHex(aText, 3, 16, context.m_traceHigh) &&
     ParseHex(aText, 19, 16, context.m_traceLow) &&
     ParseHex(aText, 36, 16, context.m_span) && ParseHex(aText, 53, 2, flags);
-  if (!sound) {
+  if (!isValid) {
     return {};
   }
   context.m_sampled = (flags & 1) != 0;
@@ -400,8 +400,8 @@
 TraceContext
 ContextOf(const ot::Span& aSpan)
 {
-  const auto* known = dynamic_cast<const Context*>(&aSpan.context());
-  return known != nullptr ? known->Get() : TraceContext{};
+  const auto* own = dynamic_cast<const Context*>(&aSpan.context());
+  return own != nullptr ? own->Get() : TraceContext{};
 }
 
 std::unique_ptr<ot::Span>
