--- a/include/bamboostile/http/client.h
+++ b/include/bamboostile/http/client.h
@@ -18,21 +18,21 @@
   Headers m_headers;
   std::shared_ptr<const std::string> m_body;
   Duration m_timeout{};
-  /** A second run would do harm: a new connection, and no repetition. Unset
-   * only where the receiver takes a request for the same one again. */
+  /** Uses a new connection and never retransmits. Must be set unless the
+   * receiver recognizes duplicates of the request. */
   bool m_onlyOnce = true;
   std::uint64_t m_maxAnswerBytes = 64ULL * 1024 * 1024;
-  /** Asked on the client's thread right before the first byte would go out,
-   * after connecting, and again before a repetition; false ends the call, as
-   * not sent where no byte was. */
+  /** Called on the client's thread after connecting, right before the first
+   * byte is sent, and again before a retransmission. If it returns false, the
+   * call ends, as kNotSent if no byte was sent. */
   std::function<bool()> m_maySend;
 };
 
 enum class CallEnd
 {
-  /** A whole answer, as its framing proves. */
+  /** A complete answer arrived, as its framing proves. */
   kAnswered,
-  /** No byte of the request went out, and none will. */
+  /** No byte of the request was sent, and none will be. */
   kNotSent,
   kBroken,
   kTimedOut,
@@ -44,15 +44,17 @@
   Response m_response;
   std::string m_detail;
   Duration m_took{};
-  /** From the start of the call to its first byte, which may wait for other
-   * calls; unset where none went out. */
+  /** Time from the start of the call until its first byte was sent, including
+   * waits for other calls; unset if no byte was sent. */
   std::optional<Duration> m_sentAfter;
 };
 
 /**
- * @brief Calls to upstreams, many at a time, on a thread of its own.
+ * @brief An HTTP/1.1 client for concurrent calls to upstreams, with a thread of
+ * its own.
  *
- * aDone runs on that thread, exactly once for each call. Built on libcurl.
+ * aDone runs on that thread, exactly once per call unless Stop() drops the
+ * call. Built on libcurl.
  */
 class Client
 {
@@ -61,7 +63,7 @@
   ~Client();
 
   void Start(Call aCall, std::function<void(CallResult)> aDone);
-  /** Ends the thread; calls under way are dropped without a result. */
+  /** Ends the thread; calls in flight are dropped without a result. */
   void Stop();
 
 private:
--- a/include/bamboostile/http/message.h
+++ b/include/bamboostile/http/message.h
@@ -15,19 +15,20 @@
 
 using Headers = std::vector<Header>;
 
-/** Case-insensitive; the first of several. */
+/** Returns the value of the first header with this name, ignoring case. */
 std::optional<std::string> FindHeader(const Headers& aHeaders,
                                       const std::string& aName);
 bool EqualsIgnoringCase(const std::string& aLeft, const std::string& aRight);
 
-/** Headers that belong to one connection (RFC 9110, 7.6.1), those named by
- * Connection among them, and those that each hop makes anew. */
+/** Returns the headers without those that belong to one connection (RFC 9110,
+ * 7.6.1), including those named by Connection, and without those that each hop
+ * sets itself. */
 Headers WithoutHopByHop(const Headers& aHeaders);
 
 struct Request
 {
   std::string m_method;
-  /** Path and query as they came. */
+  /** Path and query as received. */
   std::string m_target;
   Headers m_headers;
   std::string m_body;
@@ -39,7 +40,7 @@
   std::string m_reason;
   Headers m_headers;
   std::string m_body;
-  /** Ends the connection after this response. */
+  /** Closes the connection after this response. */
   bool m_close = false;
 };
 
--- a/include/bamboostile/http/server.h
+++ b/include/bamboostile/http/server.h
@@ -14,30 +14,30 @@
   std::uint16_t m_port = 0;
   std::uint64_t m_maxBodyBytes = 1024 * 1024;
   std::uint64_t m_maxHeaderBytes = 16 * 1024;
-  /** A request must have arrived whole within this time. */
+  /** Time within which a request must have arrived completely. */
   Millis m_readTimeout{ 10'000 };
-  /** Longer than any request may take. */
+  /** Must be longer than any request may take. */
   Millis m_handleTimeout{ 70'000 };
   std::size_t m_maxConnections = 4096;
 };
 
-/** A request that waits for its one response. */
+/** A request and the means to send its only response. */
 class Exchange
 {
 public:
   virtual ~Exchange() = default;
   virtual const Request& Incoming() const = 0;
-  /** Takes the request's body, to pass it on without a copy. */
+  /** Moves the request's body out, to avoid a copy. */
   virtual std::string TakeBody() = 0;
-  /** Once, on the server's thread. */
+  /** Must be called once, on the server's thread. */
   virtual void Respond(Response aResponse) = 0;
 };
 
 /**
- * @brief An HTTP/1.1 server on a thread of its own.
+ * @brief An HTTP/1.1 server with a thread of its own.
  *
- * The handler runs on that thread, as does everything given to Post() and
- * Every(); what it owns needs no lock. Built on RESTinio.
+ * The handler and all tasks given to Post() and Every() run on that thread, so
+ * data that only they use needs no lock. Built on RESTinio.
  */
 class Server
 {
@@ -47,13 +47,14 @@
   Server(ServerOptions aOptions, Handler aHandler);
   ~Server();
 
-  /** Binds and starts; on failure returns false with the reason. */
+  /** Binds the address and starts the thread; on failure returns false and sets
+   * aReason. */
   bool Start(std::string& aReason);
-  /** Runs aTask on the server's thread; from any thread. */
+  /** Runs aTask on the server's thread; may be called from any thread. */
   void Post(std::function<void()> aTask);
-  /** Runs aTask again and again; call before Start(). */
+  /** Runs aTask periodically; must be called before Start(). */
   void Every(Millis aPeriod, std::function<void()> aTask);
-  /** Takes no new connections; open ones are served on. */
+  /** Accepts no new connections; open ones are still served. */
   void StopAccepting();
   /** Ends the thread; open connections are closed. */
   void Stop();
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -22,8 +22,8 @@
 {
   Call m_call;
   std::function<void(CallResult)> m_done;
-  CURL* m_easy = nullptr;
-  curl_slist* m_list = nullptr;
+  CURL* m_handle = nullptr;
+  curl_slist* m_headerList = nullptr;
   CallResult m_result;
   TimePoint m_startedAt;
   bool m_sent = false;
@@ -36,8 +36,8 @@
   }
   ~Transfer()
   {
-    curl_slist_free_all(m_list);
-    curl_easy_cleanup(m_easy);
+    curl_slist_free_all(m_headerList);
+    curl_easy_cleanup(m_handle);
   }
   Transfer(const Transfer&) = delete;
   Transfer& operator=(const Transfer&) = delete;
@@ -47,9 +47,9 @@
 OnBeforeSend(void* aTransfer, char*, char*, int, int)
 {
   auto& transfer = *static_cast<Transfer*>(aTransfer);
-  // libcurl repeats a request by itself when a reused connection turns out
-  // dead, and a dead connection does not tell whether the upstream ran it. A
-  // second pass through here is such a repetition.
+  // libcurl retransmits a request by itself if a reused connection turns out to
+  // be closed, although the upstream may have run the request. A second call of
+  // this function for a transfer is such a retransmission.
   if (transfer.m_sent && transfer.m_call.m_onlyOnce) {
     return CURL_PREREQFUNC_ABORT;
   }
@@ -71,7 +71,8 @@
   while (!line.empty() && (line.back() == '\r' || line.back() == '\n')) {
     line.pop_back();
   }
-  // A status line starts anew: what came before was an interim answer.
+  // A status line starts a new response; the headers before it belong to an
+  // interim response.
   if (line.rfind("HTTP/", 0) == 0) {
     response.m_headers.clear();
     const std::size_t code = line.find(' ');
@@ -104,10 +105,10 @@
   return aSize * aCount;
 }
 
-/** An answer that ends with the connection cannot be told from one that was
- * cut off, so its framing must say where it ends. */
+/** Returns whether the framing of the answer marks its end. An answer that ends
+ * with its connection cannot be distinguished from a truncated one. */
 bool
-ProvesItsEnd(const Call& aCall, const Response& aResponse)
+HasFramedEnd(const Call& aCall, const Response& aResponse)
 {
   if (aCall.m_method == "HEAD" || aResponse.m_status == kNoContent ||
       aResponse.m_status == kNotModified) {
@@ -127,10 +128,10 @@
     return CallEnd::kTimedOut;
   }
   const Response& response = aTransfer.m_result.m_response;
-  const bool whole = aCode == CURLE_OK &&
-                     response.m_status >= kFirstFinalStatus &&
-                     ProvesItsEnd(aTransfer.m_call, response);
-  return whole ? CallEnd::kAnswered : CallEnd::kBroken;
+  const bool isComplete = aCode == CURLE_OK &&
+                          response.m_status >= kFirstFinalStatus &&
+                          HasFramedEnd(aTransfer.m_call, response);
+  return isComplete ? CallEnd::kAnswered : CallEnd::kBroken;
 }
 
 } // namespace
@@ -148,10 +149,10 @@
   void Run()
   {
     while (!m_stop) {
-      TakeNew();
+      AddNewTransfers();
       int running = 0;
       curl_multi_perform(m_multi, &running);
-      FinishDone();
+      FinishCompleted();
       curl_multi_poll(m_multi, nullptr, 0, kPollMs, nullptr);
     }
     for (auto& [easy, transfer] : m_transfers) {
@@ -161,14 +162,14 @@
     curl_multi_cleanup(m_multi);
   }
 
-  void TakeNew()
+  void AddNewTransfers()
   {
-    std::deque<std::unique_ptr<Transfer>> fresh;
+    std::deque<std::unique_ptr<Transfer>> added;
     {
       const std::lock_guard lock(m_mutex);
-      fresh.swap(m_new);
+      added.swap(m_new);
     }
-    for (auto& transfer : fresh) {
+    for (auto& transfer : added) {
       Begin(std::move(transfer));
     }
   }
@@ -178,16 +179,18 @@
     Transfer& transfer = *aTransfer;
     const Call& call = transfer.m_call;
     CURL* easy = curl_easy_init();
-    transfer.m_easy = easy;
+    transfer.m_handle = easy;
     for (const Header& header : call.m_headers) {
       const std::string line = header.m_value.empty()
                                  ? header.m_name + ";"
                                  : header.m_name + ": " + header.m_value;
-      transfer.m_list = curl_slist_append(transfer.m_list, line.c_str());
+      transfer.m_headerList =
+        curl_slist_append(transfer.m_headerList, line.c_str());
     }
-    transfer.m_list = curl_slist_append(transfer.m_list, "Expect:");
-    const auto left = transfer.m_startedAt + call.m_timeout - MonotonicNow();
-    const long timeoutMs = std::max<long>(ToMillis(left).count(), 1);
+    transfer.m_headerList = curl_slist_append(transfer.m_headerList, "Expect:");
+    const auto remaining =
+      transfer.m_startedAt + call.m_timeout - MonotonicNow();
+    const long timeoutMs = std::max<long>(ToMillis(remaining).count(), 1);
     curl_easy_setopt(
       easy, CURLOPT_URL, ("http://" + call.m_address + "/").c_str());
     curl_easy_setopt(easy, CURLOPT_REQUEST_TARGET, call.m_target.c_str());
@@ -195,7 +198,7 @@
     curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(easy, CURLOPT_NOPROXY, "*");
     curl_easy_setopt(easy, CURLOPT_TCP_NODELAY, 1L);
-    curl_easy_setopt(easy, CURLOPT_HTTPHEADER, transfer.m_list);
+    curl_easy_setopt(easy, CURLOPT_HTTPHEADER, transfer.m_headerList);
     curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, timeoutMs);
     curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, OnBeforeSend);
     curl_easy_setopt(easy, CURLOPT_PREREQDATA, &transfer);
@@ -218,21 +221,21 @@
     } else {
       curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, call.m_method.c_str());
     }
-    // An idle connection may have died unnoticed. What was sent into it
-    // would be lost or run without an answer; a new one does not have that
-    // doubt. It is closed afterwards: kept, such connections pile up until
-    // they fill the connections that the other side allows.
-    const long fresh = call.m_onlyOnce ? 1 : 0;
-    curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, fresh);
-    curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, fresh);
+    // An idle connection may have failed unnoticed. A request sent on it could
+    // be lost or run without an answer, so a new connection is used. That
+    // connection is closed afterwards: if kept, such connections accumulate
+    // until they reach the peer's connection limit.
+    const long newConnection = call.m_onlyOnce ? 1 : 0;
+    curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, newConnection);
+    curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, newConnection);
     curl_multi_add_handle(m_multi, easy);
     m_transfers.emplace(easy, std::move(aTransfer));
   }
 
-  void FinishDone()
+  void FinishCompleted()
   {
-    int left = 0;
-    while (CURLMsg* message = curl_multi_info_read(m_multi, &left)) {
+    int remaining = 0;
+    while (CURLMsg* message = curl_multi_info_read(m_multi, &remaining)) {
       if (message->msg != CURLMSG_DONE) {
         continue;
       }
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -37,8 +37,9 @@
                     aLeft.end(),
                     aRight.begin(),
                     aRight.end(),
-                    [](unsigned char aOne, unsigned char aOther) {
-                      return std::tolower(aOne) == std::tolower(aOther);
+                    [](unsigned char aLeftChar, unsigned char aRightChar) {
+                      return std::tolower(aLeftChar) ==
+                             std::tolower(aRightChar);
                     });
 }
 
@@ -68,11 +69,11 @@
   }
   Headers kept;
   for (const Header& header : aHeaders) {
-    const bool drop = std::any_of(
+    const bool isDropped = std::any_of(
       dropped.begin(), dropped.end(), [&](const std::string& aName) {
         return EqualsIgnoringCase(aName, header.m_name);
       });
-    if (!drop) {
+    if (!isDropped) {
       kept.push_back(header);
     }
   }
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -17,17 +17,17 @@
 
 using RestinioServer = restinio::http_server_t<Traits>;
 
-/** RESTinio drops the connection without a word where one of its own limits
- * is passed. Its limits are therefore set this much wider than ours, so that
- * what is a little too long gets a proper answer. */
-constexpr std::uint64_t kHardLimitFactor = 4;
+/** Factor between the server's limits and those set in RESTinio, which closes
+ * the connection without an answer if one of its own is exceeded. A request
+ * slightly over the server's limits thus still gets an answer. */
+constexpr std::uint64_t kRestinioLimitFactor = 4;
 constexpr std::size_t kMaxHeaderFields = 200;
 constexpr std::size_t kMaxFieldName = 1024;
 constexpr std::size_t kMaxTarget = 8192;
-/** Connections that one round of the loop accepts. With one a round, a full
- * process reads what stands far back in the queue when its sender has long
- * given up and connected anew, behind all others again. */
-constexpr std::size_t kAcceptsAtOnce = 64;
+/** Connections accepted per iteration of the event loop. With one, a busy
+ * process reads requests at the end of the backlog only after their senders
+ * have timed out and reconnected at the end of the backlog. */
+constexpr std::size_t kAcceptsPerIteration = 64;
 constexpr std::uint16_t kPayloadTooLarge = 413;
 constexpr std::uint16_t kUriTooLong = 414;
 constexpr std::uint16_t kHeadersTooLarge = 431;
@@ -122,25 +122,25 @@
     return bytes > m_options.m_maxHeaderBytes ? kHeadersTooLarge : 0;
   }
 
-  void Arm(Periodic& aPeriodic)
+  void ScheduleNext(Periodic& aPeriodic)
   {
     aPeriodic.m_timer->expires_after(aPeriodic.m_period);
     aPeriodic.m_timer->async_wait([this, &aPeriodic](const auto& aError) {
       if (!aError) {
         aPeriodic.m_task();
-        Arm(aPeriodic);
+        ScheduleNext(aPeriodic);
       }
     });
   }
 
-  restinio::incoming_http_msg_limits_t HardLimits() const
+  restinio::incoming_http_msg_limits_t RestinioLimits() const
   {
     return restinio::incoming_http_msg_limits_t{}
-      .max_url_size(kMaxTarget * kHardLimitFactor)
+      .max_url_size(kMaxTarget * kRestinioLimitFactor)
       .max_field_name_size(kMaxFieldName)
-      .max_field_value_size(m_options.m_maxHeaderBytes * kHardLimitFactor)
+      .max_field_value_size(m_options.m_maxHeaderBytes * kRestinioLimitFactor)
       .max_field_count(kMaxHeaderFields)
-      .max_body_size(m_options.m_maxBodyBytes * kHardLimitFactor);
+      .max_body_size(m_options.m_maxBodyBytes * kRestinioLimitFactor);
   }
 
   ServerOptions m_options;
@@ -172,8 +172,8 @@
         .address(options.m_address)
         .max_parallel_connections(options.m_maxConnections)
         .max_pipelined_requests(1)
-        .concurrent_accepts_count(kAcceptsAtOnce)
-        .incoming_http_msg_limits(impl.HardLimits())
+        .concurrent_accepts_count(kAcceptsPerIteration)
+        .incoming_http_msg_limits(impl.RestinioLimits())
         .read_next_http_message_timelimit(options.m_readTimeout)
         .write_http_response_timelimit(options.m_readTimeout)
         .handle_request_timeout(options.m_handleTimeout)
@@ -190,7 +190,7 @@
   }
   for (auto& periodic : impl.m_periodic) {
     periodic->m_timer = std::make_unique<asio::steady_timer>(impl.m_context);
-    impl.Arm(*periodic);
+    impl.ScheduleNext(*periodic);
   }
   impl.m_thread = std::thread([&impl]() { impl.m_context.run(); });
   return true;
--- a/tests/unit/http/client_test.cpp
+++ b/tests/unit/http/client_test.cpp
@@ -14,8 +14,8 @@
 
 TEST_GROUP(HttpClient)
 {
-  /** Answers what comes on the connection, but reads a POST and dies. */
-  static void DieOnPost(int aSocket, std::atomic<int>& aPosts)
+  /** Answers requests until it reads a POST, then closes the connection. */
+  static void CloseOnPost(int aSocket, std::atomic<int>& aPosts)
   {
     for (std::string head = ReadHead(aSocket); !head.empty();
          head = ReadHead(aSocket)) {
@@ -29,7 +29,7 @@
 
   CallResult Send(const RawServer& aServer,
                   const char* aMethod,
-                  bool aOnlyOnce,
+                  bool aAtMostOnce,
                   std::function<bool()> aMaySend = {})
   {
     Call call;
@@ -37,7 +37,7 @@
     call.m_method = aMethod;
     call.m_target = "/x";
     call.m_timeout = Millis{ 1000 };
-    call.m_onlyOnce = aOnlyOnce;
+    call.m_onlyOnce = aAtMostOnce;
     call.m_maySend = std::move(aMaySend);
     auto promise = std::make_shared<std::promise<CallResult>>();
     m_client.Start(std::move(call), [promise](CallResult aResult) {
@@ -49,7 +49,7 @@
   Client m_client;
 };
 
-TEST(HttpClient, WholeAnswer_IsAnswered)
+TEST(HttpClient, CompleteAnswer_IsAnswered)
 {
   RawServer server([](int aSocket, int) {
     ReadHead(aSocket);
@@ -60,9 +60,9 @@
   CHECK_STRING("ok", result.m_response.m_body);
 }
 
-// The upstream dies in the middle of its answer. What came must not pass for
-// the whole.
-TEST(HttpClient, BodyShorterThanItsLength_IsBroken)
+// The upstream fails in the middle of its answer, and the truncated answer must
+// not count as complete.
+TEST(HttpClient, BodyShorterThanContentLength_IsIncomplete)
 {
   RawServer server([](int aSocket, int) {
     ReadHead(aSocket);
@@ -71,7 +71,7 @@
   CHECK(Send(server, "GET", true).m_end == CallEnd::kBroken);
 }
 
-TEST(HttpClient, ChunkedBodyCutShort_IsBroken)
+TEST(HttpClient, TruncatedChunkedBody_IsIncomplete)
 {
   RawServer server([](int aSocket, int) {
     ReadHead(aSocket);
@@ -82,8 +82,9 @@
   CHECK(Send(server, "GET", true).m_end == CallEnd::kBroken);
 }
 
-// An answer that ends with its connection looks the same whole or cut off.
-TEST(HttpClient, BodyWithoutProvenEnd_IsBroken)
+// If the end of an answer is marked only by the end of its connection, a
+// truncated answer looks complete.
+TEST(HttpClient, BodyWithoutFramedEnd_IsIncomplete)
 {
   RawServer server([](int aSocket, int) {
     ReadHead(aSocket);
@@ -92,12 +93,12 @@
   CHECK(Send(server, "GET", true).m_end == CallEnd::kBroken);
 }
 
-TEST(HttpClient, NobodyListens_IsNotSent)
+TEST(HttpClient, ConnectionRefused_IsNotSent)
 {
   std::string address;
   {
-    RawServer gone([](int, int) {});
-    address = gone.Address();
+    RawServer closedServer([](int, int) {});
+    address = closedServer.Address();
   }
   Call call;
   call.m_address = address;
@@ -119,8 +120,8 @@
   CHECK(Send(server, "POST", true).m_end == CallEnd::kTimedOut);
 }
 
-// The entry was frozen between its decision and the send; when it wakes, its
-// lease is over. It has connected, but no byte of the request goes out.
+// An entry that was frozen between its decision and the send resumes after its
+// lease has ended. It has connected, but must not send a byte of the request.
 TEST(HttpClient, SendForbiddenAfterConnect_IsNotSent)
 {
   std::atomic<int> heads = 0;
@@ -131,38 +132,38 @@
   LONGS_EQUAL(0, heads);
 }
 
-// The upstream reads a request from a reused connection, runs it, and dies
-// before a byte of the answer. The library below would send it again on a new
-// connection by itself; a request that must run once must not be.
-TEST(HttpClient, ReusedConnectionDiesAfterRequest_OnlyOnce_IsNotSentTwice)
+// The upstream reads a request from a reused connection, runs it and fails
+// before it sends a byte of the answer. libcurl would retransmit the request on
+// a new connection, and the upstream would run it twice.
+TEST(HttpClient, ReusedConnectionClosedAfterRequest_AtMostOnce_IsNotSentTwice)
 {
   std::atomic<int> posts = 0;
-  RawServer server([&](int aSocket, int) { DieOnPost(aSocket, posts); });
+  RawServer server([&](int aSocket, int) { CloseOnPost(aSocket, posts); });
   CHECK(Send(server, "GET", false).m_end == CallEnd::kAnswered);
   const auto result = Send(server, "POST", true);
   CHECK(result.m_end == CallEnd::kBroken);
   LONGS_EQUAL(1, posts);
 }
 
-// An order for an instance is obeyed seconds after it was decided, on what runs
-// there by then. It left in time, but its reused connection had died, and the
-// library sends it again by itself; the sender is asked before that as well.
-TEST(HttpClient, SendForbiddenBeforeRepetition_IsNotRepeated)
+// An order for an instance would take effect seconds after it was decided, on a
+// changed instance: it was sent in time, but on a reused connection that was
+// closed, so libcurl retransmits it. m_maySend must be called before that too.
+TEST(HttpClient, SendForbiddenBeforeRetransmission_IsNotSentTwice)
 {
   std::atomic<int> posts = 0;
-  RawServer server([&](int aSocket, int) { DieOnPost(aSocket, posts); });
+  RawServer server([&](int aSocket, int) { CloseOnPost(aSocket, posts); });
   CHECK(Send(server, "GET", false).m_end == CallEnd::kAnswered);
-  std::atomic<int> asked = 0;
+  std::atomic<int> calls = 0;
   const auto result =
-    Send(server, "POST", false, [&]() { return ++asked == 1; });
+    Send(server, "POST", false, [&]() { return ++calls == 1; });
   CHECK(result.m_end == CallEnd::kBroken);
   LONGS_EQUAL(1, posts);
 }
 
-// Each request that must run once gets a connection of its own. Were those
-// kept, a few thousand requests would fill the peer's connections, and new
-// callers would wait until the idle ones time out (seen: 9 s).
-TEST(HttpClient, OnlyOnce_AfterAnswer_ConnectionIsClosed)
+// Each at-most-once request uses a connection of its own. If those were kept, a
+// few thousand requests would exhaust the peer's connection limit, and new
+// callers would wait until idle connections time out (9 s).
+TEST(HttpClient, AtMostOnce_AfterAnswer_ConnectionIsClosed)
 {
   std::atomic<int> closed = 0;
   RawServer server([&](int aSocket, int) {
@@ -180,7 +181,7 @@
   LONGS_EQUAL(5, closed);
 }
 
-TEST(HttpClient, InterimAnswer_BeforeFinal_IsSkipped)
+TEST(HttpClient, InterimResponse_BeforeFinal_IsSkipped)
 {
   RawServer server([](int aSocket, int) {
     ReadHead(aSocket);
--- a/tests/unit/http/message_test.cpp
+++ b/tests/unit/http/message_test.cpp
@@ -6,7 +6,7 @@
 
 TEST_GROUP(HttpMessage){};
 
-TEST(HttpMessage, HopByHopHeaders_AndThoseConnectionNames_AreDropped)
+TEST(HttpMessage, HopByHopHeaders_AndHeadersNamedByConnection_AreDropped)
 {
   const Headers kept = WithoutHopByHop({ { "Connection", "X-One, close" },
                                          { "x-one", "1" },
--- a/tests/unit/http/server_test.cpp
+++ b/tests/unit/http/server_test.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr std::uint16_t kPort = 20901;
-constexpr int kQuietMs = 1500;
-const std::string kGood = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n";
+constexpr int kIdleTimeoutMs = 1500;
+const std::string kValidRequest = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n";
 
 } // namespace
 
@@ -45,28 +45,30 @@
     m_server.reset();
   }
 
-  /** Whatever came before, a sound request is served. */
-  void StillServes()
+  /** Checks that a valid request is still served. */
+  void CheckServes()
   {
-    CHECK(test::Exchange(kPort, kGood, 200).rfind("HTTP/1.1 200", 0) == 0);
+    CHECK(test::Exchange(kPort, kValidRequest, 200).rfind("HTTP/1.1 200", 0) ==
+          0);
   }
 
   std::unique_ptr<Server> m_server;
 };
 
-TEST(HttpServer, BodyALittleTooLong_Is413)
+TEST(HttpServer, BodySlightlyTooLong_Is413)
 {
   const std::string body(150, 'x');
   const auto answer = test::Exchange(
     kPort,
     "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 150\r\n\r\n" + body,
-    kQuietMs);
+    kIdleTimeoutMs);
   CHECK(answer.rfind("HTTP/1.1 413", 0) == 0);
-  StillServes();
+  CheckServes();
 }
 
-// A length that no body follows, a negative one, and one that overflows.
-TEST(HttpServer, HostileLengths_CloseTheConnectionOnly)
+// A length that overflows, a negative one, one that no body follows and a list
+// of two must not be served and must not affect other connections.
+TEST(HttpServer, InvalidContentLengths_CloseTheConnectionOnly)
 {
   for (const char* length :
        { "99999999999999999999999", "-1", "18446744073709551615", "1, 2" }) {
@@ -74,9 +76,9 @@
       kPort,
       std::string{ "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: " } +
         length + "\r\n\r\nabc",
-      kQuietMs);
+      kIdleTimeoutMs);
     CHECK(answer.rfind("HTTP/1.1 200", 0) != 0);
-    StillServes();
+    CheckServes();
   }
 }
 
@@ -87,9 +89,9 @@
     "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
     "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /y HTTP/1.1\r\n"
     "Host: h\r\n\r\n",
-    kQuietMs);
+    kIdleTimeoutMs);
   CHECK(answer.rfind("HTTP/1.1 200", 0) != 0);
-  StillServes();
+  CheckServes();
 }
 
 TEST(HttpServer, BadChunks_CloseTheConnectionOnly)
@@ -98,14 +100,14 @@
     kPort,
     "POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
     "zz\r\nabc\r\n",
-    kQuietMs);
+    kIdleTimeoutMs);
   CHECK(answer.rfind("HTTP/1.1 200", 0) != 0);
-  StillServes();
+  CheckServes();
 }
 
-// A sender stops in the middle of its request. The connection is closed after
-// the read timeout, and others are served meanwhile.
-TEST(HttpServer, RequestHalfSent_IsClosedAndOthersAreServed)
+// A sender that stops in the middle of its request must not block others; its
+// connection is closed after the read timeout.
+TEST(HttpServer, IncompleteRequest_IsClosedAndOthersAreServed)
 {
   std::string answer;
   std::thread slow([&]() {
@@ -113,31 +115,31 @@
       test::Exchange(kPort,
                      "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 50\r\n"
                      "\r\nabc",
-                     kQuietMs * 2);
+                     kIdleTimeoutMs * 2);
   });
-  StillServes();
+  CheckServes();
   slow.join();
   CHECK_STRING("<closed>", answer);
 }
 
-TEST(HttpServer, NotHttpAtAll_ClosesTheConnectionOnly)
+TEST(HttpServer, NotHttp_ClosesTheConnectionOnly)
 {
   const auto answer = test::Exchange(
-    kPort, std::string("\x16\x03\x01\x00\xff garbage\r\n\r\n"), kQuietMs);
+    kPort, std::string("\x16\x03\x01\x00\xff garbage\r\n\r\n"), kIdleTimeoutMs);
   CHECK(answer.rfind("HTTP/1.1 200", 0) != 0);
-  StillServes();
+  CheckServes();
 }
 
-// The operator sees workers lost that live. All of them connect to a new leader
-// at once; one connection is accepted in each round of the server's loop, and
-// in a full process a round takes 30 ms. What stands at the end of the queue is
-// read after more than a second, when its sender has given up and connected
-// again, behind all others. Workers were seen to send the same report six times
-// that was answered within 50 ms of being read each time.
-TEST(HttpServer, ManyConnectionsAtOnce_AreReadWithinAFewRounds)
+// Live workers are reported lost after a change of leader: all connect to the
+// new leader at once, and with one connection accepted per iteration of the
+// event loop, of 30 ms in a busy process, requests at the end of the backlog
+// are read after more than a second. Their senders have then timed out and
+// reconnected at the end of the backlog. Workers sent the same report up to six
+// times, although each was answered within 50 ms of being read.
+TEST(HttpServer, ManyConnectionsAtOnce_AreReadWithinAFewIterations)
 {
   constexpr int kConnections = 64;
-  constexpr int kMostRounds = kConnections / 4;
+  constexpr int kMaxIterations = kConnections / 4;
   ServerOptions options;
   options.m_address = "127.0.0.1";
   options.m_port = kPort + 1;
@@ -149,22 +151,22 @@
   std::string reason;
   CHECK(server.Start(reason));
   std::atomic<bool> isHeld = true;
-  std::atomic<int> rounds = 0;
-  const std::function<void()> countRound = [&]() {
+  std::atomic<int> iterations = 0;
+  const std::function<void()> countIteration = [&]() {
     if (served < kConnections) {
-      ++rounds;
-      server.Post(countRound);
+      ++iterations;
+      server.Post(countIteration);
     }
   };
   server.Post([&]() {
     while (isHeld) {
       std::this_thread::yield();
     }
-    countRound();
+    countIteration();
   });
   std::vector<int> clients;
   for (int i = 0; i < kConnections; ++i) {
-    clients.push_back(test::ConnectAndWrite(kPort + 1, kGood));
+    clients.push_back(test::ConnectAndWrite(kPort + 1, kValidRequest));
   }
   isHeld = false;
   for (const int client : clients) {
@@ -172,5 +174,5 @@
     close(client);
   }
   LONGS_EQUAL(kConnections, served);
-  CHECK(rounds <= kMostRounds);
+  CHECK(iterations <= kMaxIterations);
 }
