--- a/include/bamboostile/control/disk_thread.h
+++ b/include/bamboostile/control/disk_thread.h
@@ -11,8 +11,9 @@
 
 namespace bamboostile::control {
 
-/** All writes up to m_ticket are synced; or, with m_failure, the disk failed
- * for good, or refuses for now and the write is tried again. */
+/** Reports that all writes up to m_ticket are synced or, with m_failure, that a
+ * write failed. The write is retried if the failure may pass; any other failure
+ * is final. */
 struct DiskReport
 {
   std::uint64_t m_ticket = 0;
@@ -21,11 +22,11 @@
 
 /**
  * @brief Writes the log on a thread of its own, so that a slow sync delays
- * commits but no heartbeat.
+ * commits but no heartbeats.
  *
- * What queues up during one sync goes out with the next: the number of syncs
- * stays the same however many commands arrive. A write that the disk refuses
- * is tried again until it is taken; nothing behind it is written meanwhile.
+ * Writes that arrive during one sync are merged into the next, so the number of
+ * syncs does not grow with the number of commands. A write that fails
+ * temporarily is retried until it succeeds; later writes wait for it.
  */
 class DiskThread
 {
@@ -38,9 +39,9 @@
 
 private:
   void Run();
-  bool WriteUntilTaken(const consensus::Persist& aPersist);
-  bool IsStoppedWithin(Duration aPause);
-  static void Join(consensus::Persist& aInto, consensus::Persist aNext);
+  bool WriteWithRetry(const consensus::Persist& aPersist);
+  bool WaitForStop(Duration aPause);
+  static void Merge(consensus::Persist& aInto, consensus::Persist aNext);
 
   std::unique_ptr<storage::LogStore> m_store;
   rpc::Mailbox<DiskReport>& m_reports;
--- a/include/bamboostile/control/instance_service.h
+++ b/include/bamboostile/control/instance_service.h
@@ -11,19 +11,19 @@
 
 namespace bamboostile::control {
 
-/** Calls to the platform that hosts the instances; answers may come on any
- * thread. Unset ones are never made. */
+/** Calls to the platform that hosts the instances. Answers may arrive on any
+ * thread; functions that are not set are never called. */
 struct InstanceCalls
 {
   struct Answer
   {
     placement::InstanceAnswer m_answer = placement::InstanceAnswer::kUnclear;
-    /** From the call to its first byte; unset where none went out. */
+    /** Time from the call to the first byte sent; unset if none was sent. */
     std::optional<Duration> m_sentAfter;
   };
 
   using Answered = std::function<void(const Answer&)>;
-  /** Nothing where the list could not be read whole. */
+  /** Receives std::nullopt if the list could not be read in full. */
   using Listed =
     std::function<void(std::optional<std::vector<placement::ListedInstance>>)>;
 
@@ -34,35 +34,37 @@
 };
 
 /**
- * @brief Maintenance and moves of instances: carries the planners' orders to
- * the platform and the answers back.
+ * @brief Sends the planners' maintenance and move orders to the platform and
+ * handles the answers.
  *
- * Lives on the node's event loop; made anew with each term.
+ * Runs on the node's event loop. Each term gets a new object.
  */
 class InstanceService final : private kj::TaskSet::ErrorHandler
 {
 public:
-  using Ended = std::function<void(const WorkerLife&, TimePoint aOrderedAt)>;
+  using EndedHandler =
+    std::function<void(const WorkerLife&, TimePoint aOrderedAt)>;
 
-  /** aEnded hears of lives that an order has ended for certain. */
+  /** aOnEnded is called for each worker incarnation that an order has ended for
+   * certain. */
   InstanceService(Node& aNode,
                   const InstanceCalls& aCalls,
                   placement::MaintenanceOptions aMaintenance,
                   placement::CapacityOptions aCapacity,
                   Term aTerm,
-                  Pace& aPace,
-                  Ended aEnded);
+                  StageLatencies& aLatencies,
+                  EndedHandler aOnEnded);
 
-  std::size_t OrdersUnderWay() const
+  std::size_t PendingOrders() const
   {
-    return m_movesUnderWay + m_ordersUnderWay.size();
+    return m_pendingMoves + m_pendingMaintenance.size();
   }
 
-  /** Without aMayOrder nothing new is ordered; instances under orders stay
-   * cordoned. */
+  /** Sends no new orders unless aOrdersAllowed; instances with pending orders
+   * stay cordoned. */
   void Tick(const placement::WorkerTable& aWorkers,
             const placement::Durations& aDurations,
-            bool aMayOrder,
+            bool aOrdersAllowed,
             TimePoint aNow,
             WallTime aWall);
   /** Workers that get no new tasks. */
@@ -85,12 +87,13 @@
 
   struct List
   {
-    TimePoint m_askedAt;
-    /** Nothing where it could not be read whole. */
+    TimePoint m_requestedAt;
+    /** std::nullopt if the list could not be read in full. */
     std::optional<std::vector<placement::ListedInstance>> m_instances;
   };
 
-  /** Outlives this object for answers that come after it. */
+  /** Answers from any thread; outlives this object, as answers may arrive
+   * later. */
   struct Answers
   {
     rpc::Mailbox<MaintenanceReply> m_maintenance;
@@ -102,24 +105,27 @@
   kj::Promise<void> MaintenanceLoop();
   kj::Promise<void> MoveLoop();
   kj::Promise<void> ListLoop();
-  void On(const MaintenanceReply& aReply);
-  void On(const MoveReply& aReply);
-  void Note(telemetry::LogLine aLine,
-            const InstanceCalls::Answer& aAnswer,
-            TimePoint aDecidedAt);
+  void HandleReply(const MaintenanceReply& aReply);
+  void HandleReply(const MoveReply& aReply);
+  void LogAnswer(telemetry::LogLine aLine,
+                 const InstanceCalls::Answer& aAnswer,
+                 TimePoint aDecidedAt);
   placement::MaintenancePlan PlanMaintenance(
     const placement::WorkerTable& aWorkers,
-    bool aMayOrder,
+    bool aOrdersAllowed,
     TimePoint aNow);
   void PlanMoves(const placement::WorkerTable& aWorkers,
                  const placement::Durations& aDurations,
                  TimePoint aNow,
                  WallTime aWall);
-  void LogNeeds(const std::vector<placement::PoolNeed>& aNeeds, TimePoint aNow);
-  void ReadList(const placement::MaintenancePlan& aMaintenance, TimePoint aNow);
-  void On(List aList);
-  void Advance(const placement::MaintenanceAdvance& aAdvance);
-  void Record(std::vector<placement::MoveOrder> aOrders, TimePoint aDecidedAt);
+  void LogCapacity(const std::vector<placement::PoolNeed>& aPools,
+                   TimePoint aNow);
+  void RequestList(const placement::MaintenancePlan& aMaintenance,
+                   TimePoint aNow);
+  void HandleList(List aList);
+  void ProposeAdvance(const placement::MaintenanceAdvance& aAdvance);
+  void RecordAndSend(std::vector<placement::MoveOrder> aOrders,
+                     TimePoint aDecidedAt);
   void Send(const placement::MoveOrder& aOrder,
             bool aIsRecorded,
             TimePoint aDecidedAt);
@@ -127,21 +133,21 @@
   Node& m_node;
   const InstanceCalls& m_calls;
   Term m_term;
-  Pace& m_pace;
-  Ended m_ended;
-  bool m_moves;
+  StageLatencies& m_latencies;
+  EndedHandler m_onEnded;
+  bool m_movesEnabled;
   placement::MaintenancePlanner m_maintenance;
   placement::CapacityPlanner m_capacity;
-  placement::OrderRecord m_record;
+  placement::OrderRecord m_orderRecord;
   std::set<WorkerLife> m_cordoned;
-  std::set<std::pair<std::uint64_t, InstanceId>> m_ordersUnderWay;
-  std::size_t m_advancing = 0;
-  /** Moves whose answer has not been handled. */
-  std::size_t m_movesUnderWay = 0;
+  std::set<std::pair<std::uint64_t, InstanceId>> m_pendingMaintenance;
+  std::size_t m_pendingAdvances = 0;
+  /** Number of moves whose answer has not been handled. */
+  std::size_t m_pendingMoves = 0;
   TimePoint m_nextList;
-  TimePoint m_listedAt;
-  bool m_isListing = false;
-  TimePoint m_nextNeedsLog;
+  TimePoint m_listRequestedAt;
+  bool m_isListPending = false;
+  TimePoint m_nextCapacityLog;
   std::shared_ptr<Answers> m_answers = std::make_shared<Answers>();
   kj::TaskSet m_tasks;
 };
--- a/include/bamboostile/control/job_service.h
+++ b/include/bamboostile/control/job_service.h
@@ -10,13 +10,13 @@
 
 namespace bamboostile::control {
 
-/** What a worker hears back. */
+/** The answer to a worker's report or leave. */
 struct WorkerAnswer
 {
-  /** Unset: no lease is given; the reason is m_refusal. */
+  /** Unset if no lease is granted; m_refusal then holds the reason. */
   std::optional<placement::Orders> m_orders;
   Term m_fencingToken;
-  /** Set where another replica leads. */
+  /** Address of the leader; set if another replica leads. */
   std::string m_leaderAddress;
   std::string m_refusal;
 };
@@ -26,7 +26,7 @@
   kInForce,
   kNotLeader,
   kUndecided,
-  /** Not proposed: the group's disks take nothing now. */
+  /** Not proposed: the group's disks accept no writes at present. */
   kStalled,
 };
 
@@ -57,18 +57,18 @@
   placement::LeaseOptions m_lease;
   placement::MaintenanceOptions m_maintenance;
   placement::CapacityOptions m_capacity;
-  /** How long callers can ask for the state of an ended job. */
-  Duration m_keepEnded = std::chrono::seconds{ 180 };
+  /** How long callers can query the state of an ended job. */
+  Duration m_endedJobRetention = std::chrono::seconds{ 180 };
   InstanceCalls m_calls;
 };
 
 /**
- * @brief Jobs at the leader: binds the decisions of placement to the log, to
+ * @brief Runs jobs at the leader: connects the placement planner to the log, to
  * workers and to callers.
  *
- * Lives on the node's event loop. Changes of runs are proposed one batch at a
- * time: while one is on its way to the disks, what comes in gathers for the
- * next, so a busy leader syncs fewer and larger batches.
+ * Runs on the node's event loop. Changes of runs are proposed one batch at a
+ * time. Changes that arrive while a batch is being committed are queued for the
+ * next one, so a busy leader syncs fewer and larger batches.
  */
 class JobService final : private kj::TaskSet::ErrorHandler
 {
@@ -78,69 +78,74 @@
   kj::Promise<jobs::QueueReply> Call(jobs::QueueCall aCall);
   kj::Promise<WorkerAnswer> Report(const placement::WorkerReport& aReport,
                                    TimePoint aReceivedAt);
-  /** The worker says that it ends now; of the life, where it says which. */
+  /** Ends a worker that shuts down: the given incarnation, or the only known
+   * one if aWorker has no start time. */
   kj::Promise<WorkerAnswer> Leave(const WorkerLife& aWorker);
   kj::Promise<RoutesOutcome> ReplaceRoutes(fleet::RouteTable aTable);
   RoutesRead ReadRoutes();
   kj::Promise<RoutesOutcome> StartMaintenance(fleet::MaintenanceWave aWave);
   WaveView LookAtMaintenance(std::uint64_t aWave);
   std::string LeaderAddress() const { return m_node.LeaderAddress(); }
-  Pace& LeaderPace() { return m_pace; }
-  /** Prometheus text. */
+  StageLatencies& LeaderPace() { return m_latencies; }
+  /** Returns the metrics in Prometheus text format. */
   std::string RenderMetrics();
 
 private:
-  struct Waiting
+  struct PendingReport
   {
     WorkerLife m_worker;
     std::uint64_t m_sequence = 0;
     TimePoint m_receivedAt;
-    /** It has no ends that are not in the batch under way or an earlier one. */
-    bool m_taken = false;
-    /** A pass of placing has seen its ends. */
-    bool m_planned = false;
+    /** All ends in the report are in the current batch or an earlier one. */
+    bool m_endsInBatch = false;
+    /** A placement pass has taken the report's ends into account. */
+    bool m_isPlanned = false;
     kj::Own<kj::PromiseFulfiller<WorkerAnswer>> m_fulfiller;
   };
 
   void taskFailed(kj::Exception&& aException) override;
   kj::Promise<void> TickLoop();
-  /** Whether this replica leads now; begins anew with each term. */
-  bool Leads();
-  WorkerAnswer NotLeading() const;
-  void NoteRestart(const placement::WorkerReport& aReport,
-                   const placement::Heard& aHeard);
-  void NoteIgnored(const placement::WorkerReport& aReport,
-                   placement::Ignored aReason,
-                   TimePoint aNow);
-  void NoteSkippedEnds(const placement::WorkerReport& aReport,
-                       std::size_t aCount);
-  void Gather(std::vector<jobs::EndRun> aEnds);
-  void Kick();
-  /** Ends the runs of workers whose lease is over. */
-  void GatherLost(TimePoint aNow);
-  /** Maintenance and moves, where their time has come. */
-  void FollowInstances(TimePoint aNow);
-  /** Decides what is left undone until the next look. */
-  void FollowLoad(TimePoint aNow);
-  kj::Promise<void> Cycle();
-  /** Adds the starts of a pass of placing; orders stops. */
+  /** Returns whether this replica leads; resets the state of the leader in each
+   * new term. */
+  bool EnsureLeading();
+  WorkerAnswer NotLeaderAnswer() const;
+  void RecordRestart(const placement::WorkerReport& aReport,
+                     const placement::Heard& aResult);
+  void RecordIgnored(const placement::WorkerReport& aReport,
+                     placement::Ignored aReason,
+                     TimePoint aNow);
+  void RecordSkippedEnds(const placement::WorkerReport& aReport,
+                         std::size_t aCount);
+  void QueueEnds(std::vector<jobs::EndRun> aEnds);
+  void ScheduleCycle();
+  /** Ends the runs of workers whose lease has expired. */
+  void QueueLostRuns(TimePoint aNow);
+  /** Runs maintenance and moves at their interval. */
+  void TickInstances(TimePoint aNow);
+  /** Chooses the work to shed until the next tick. */
+  void UpdateShedding(TimePoint aNow);
+  kj::Promise<void> RunCycle();
+  /** Adds the starts of a placement pass and requests stops. */
   void Plan(TimePoint aNow, std::vector<jobs::Change>& aChanges);
   kj::Promise<void> Commit(std::vector<jobs::Change> aChanges,
                            std::vector<placement::Receipt> aReceipts);
   void AnswerPlanned();
-  /** Those that cannot wait any longer for a batch. */
+  /** Answers reports that cannot wait any longer for a batch. */
   void AnswerOverdue(TimePoint aNow);
-  std::vector<Waiting> TakeWaiting(
-    const std::function<bool(const Waiting&)>& aIsTaken);
+  std::vector<PendingReport> TakePending(
+    const std::function<bool(const PendingReport&)>& aIsSelected);
   void AnswerAllAsFollower();
-  WorkerAnswer AnswerOf(const Waiting& aOne, bool aLeads, TimePoint aNow);
-  void Hold(Waiting aOne, TimePoint aNow);
-  void AnswerHeld(bool aLeads, TimePoint aNow);
-  void LearnFrom(const std::vector<jobs::Change>& aChanges, TimePoint aNow);
-  void NoteIfCrashLoop(const jobs::Job& aJob, const jobs::EndRun& aEnd);
+  WorkerAnswer AnswerOf(const PendingReport& aReport,
+                        bool aIsLeader,
+                        TimePoint aNow);
+  void HoldReport(PendingReport aReport, TimePoint aNow);
+  void AnswerHeld(bool aIsLeader, TimePoint aNow);
+  void RecordCommitted(const std::vector<jobs::Change>& aChanges,
+                       TimePoint aNow);
+  void RecordIfCrashLoop(const jobs::Job& aJob, const jobs::EndRun& aEnd);
   void StopStuckRuns(TimePoint aNow);
-  void OnLifeEnded(const WorkerLife& aWorker);
-  void OnOrderTaken(const WorkerLife& aWorker, TimePoint aOrderedAt);
+  void OnIncarnationEnded(const WorkerLife& aWorker);
+  void OnOrderAccepted(const WorkerLife& aWorker, TimePoint aOrderedAt);
   kj::Promise<jobs::QueueReply> Submit(const fleet::QueueRoute& aRoute,
                                        const JobId& aJob,
                                        jobs::JobSpec aSpec);
@@ -155,34 +160,34 @@
   placement::PlanPacer m_pacer;
   std::unique_ptr<InstanceService> m_instances;
   std::map<jobs::TaskRef, TimePoint> m_startedAt;
-  std::vector<jobs::Change> m_gathered;
-  bool m_isDirty = false;
-  bool m_isCycling = false;
+  std::vector<jobs::Change> m_queuedChanges;
+  bool m_needsPlan = false;
+  bool m_isCycleActive = false;
   TimePoint m_tickDueAt;
-  TimePoint m_nextPass;
-  TimePoint m_nextInstances;
-  TimePoint m_nextLost;
-  TimePoint m_nextForget;
-  TimePoint m_nextSettle;
-  struct Held
+  TimePoint m_nextPlan;
+  TimePoint m_nextInstanceTick;
+  TimePoint m_nextLostCheck;
+  TimePoint m_nextRemoveEnded;
+  TimePoint m_nextStableCheck;
+  struct HeldReport
   {
-    Waiting m_report;
-    TimePoint m_until;
+    PendingReport m_report;
+    TimePoint m_deadline;
   };
 
-  std::vector<Waiting> m_waiting;
-  /** Reports of quiet workers, kept for when there is an order for them. */
-  std::unordered_map<WorkerLife, Held> m_held;
-  Pace m_pace;
+  std::vector<PendingReport> m_pendingReports;
+  /** Reports of steady workers, held until there is an order for the worker. */
+  std::unordered_map<WorkerLife, HeldReport> m_heldReports;
+  StageLatencies m_latencies;
   placement::LoadShedder m_shedder;
-  placement::Shedding m_shedding = placement::Shedding::kNothing;
-  /** Late reports are usual where links are cut. */
+  placement::Shedding m_sheddingLevel = placement::Shedding::kNothing;
+  /** Limited, as late reports are frequent while links are cut. */
   telemetry::LogLimit m_ignoredLog{ Millis{ 200 } };
   telemetry::Metrics m_metrics;
   kj::TaskSet m_tasks;
 };
 
-/** Time of day; for due times and records only. */
+/** Returns the wall-clock time; used only for due times and records. */
 WallTime WallNow();
 
 } // namespace bamboostile::control
--- a/include/bamboostile/control/loop_bridge.h
+++ b/include/bamboostile/control/loop_bridge.h
@@ -9,17 +9,18 @@
 
 namespace bamboostile::control {
 
-/** Has requests of an HTTP thread answered by tasks on the event loop. */
+/** Answers requests of an HTTP thread by tasks on the event loop. */
 class LoopBridge final : private kj::TaskSet::ErrorHandler
 {
 public:
   using ExchangePtr = std::shared_ptr<http::Exchange>;
   using Task = std::function<kj::Promise<http::Response>()>;
 
-  /** aPace, where set, outlives this and hears how late answers go out. */
-  explicit LoopBridge(Pace* aPace = nullptr);
+  /** aLatencies, if set, must outlive this object; it records the delay until
+   * an answer is written. */
+  explicit LoopBridge(StageLatencies* aLatencies = nullptr);
 
-  /** From the HTTP thread of aServer, which must outlive the answer. */
+  /** Called on the HTTP thread of aServer, which must outlive the answer. */
   void Answer(http::Server& aServer, ExchangePtr aExchange, Task aTask);
 
 private:
@@ -33,7 +34,7 @@
   void taskFailed(kj::Exception&& aException) override;
   kj::Promise<void> Loop();
 
-  Pace* m_pace;
+  StageLatencies* m_latencies;
   rpc::Mailbox<Pending> m_pending;
   kj::TaskSet m_tasks;
 };
--- a/include/bamboostile/control/node.h
+++ b/include/bamboostile/control/node.h
@@ -23,34 +23,34 @@
   membership::Options m_membership;
   std::uint64_t m_snapshotEvery = 2000;
   Duration m_syncHold = Millis{ 500 };
-  Duration m_inForcePatience = Millis{ 4000 };
-  /** Asks the platform to restart a released instance; asked again while it
-   * has not come back. */
+  Duration m_inForceTimeout = Millis{ 4000 };
+  /** Asks the platform to restart a released instance; called repeatedly until
+   * the instance has returned. */
   std::function<void(const fleet::Instance&)> m_restart;
-  /** RPC addresses of the replicas that form the group at its first start;
-   * a replica that no membership names asks them for admission. Empty where
-   * an operator adds members by hand. */
+  /** RPC addresses of the replicas that form the group at its first start. A
+   * replica that is in no membership asks them for admission. Empty if an
+   * operator adds members manually. */
   std::vector<std::string> m_seeds;
-  /** The whole system starts for the first time, on empty disks. */
+  /** True if the whole system starts for the first time, on empty disks. */
   bool m_formGroup = false;
-  /** Of a group that forms from seeds. */
+  /** Options for a group that forms from seeds. */
   consensus::MembershipPolicyOptions m_group;
 };
 
-/** What became of a proposed command. */
-struct Decided
+/** The result of a proposed command. */
+struct ProposalResult
 {
-  /** Set where the command is committed and applied. */
+  /** Set if the command is committed and applied. */
   std::optional<fleet::Effect> m_effect;
   Index m_index;
   consensus::Error m_error = consensus::Error::kNone;
 };
 
 /**
- * @brief A control replica: binds agreement, state and membership to a disk,
+ * @brief A control replica: connects consensus, state and membership to a disk,
  * to its peers and to the clock.
  *
- * Lives on one KJ event loop. It decides nothing itself.
+ * Runs on one KJ event loop. It makes no decisions itself.
  */
 class Node final : private kj::TaskSet::ErrorHandler
 {
@@ -61,15 +61,16 @@
        kj::AsyncIoProvider& aProvider,
        std::function<void(const storage::Failure&)> aOnDiskFailure);
 
-  kj::Promise<Decided> Propose(const fleet::Command& aCommand);
+  kj::Promise<ProposalResult> Propose(const fleet::Command& aCommand);
 
-  /** This replica may answer for the group now. */
+  /** Returns whether this replica may answer for the group now. */
   bool IsServing() const;
-  /** Commands wait for the group's disks, and a further one would as well. */
+  /** Returns whether commands wait for the group's disks, so that a further one
+   * would wait too. */
   bool IsStalled() const;
   std::string LeaderAddress() const;
   kj::Promise<bool> WaitInForce(Index aRevision);
-  /** Returns once the view moved past aRevision, or after the hold time. */
+  /** Resolves once the view is newer than aRevision, or after the hold time. */
   kj::Promise<void> WaitViewChange(Index aRevision);
   kj::Promise<consensus::Error> AddMember(std::string aAddress);
   consensus::Error Admit(const consensus::Member& aMember);
@@ -82,7 +83,8 @@
   consensus::Error Bootstrap();
   consensus::Error RemoveMember(const InstanceId& aInstance);
   std::string StatusJson() const;
-  /** Where this replica asks for admission, should it need to. */
+  /** Sets the addresses at which this replica asks for admission if it needs
+   * to. */
   void SetSeeds(std::vector<std::string> aSeeds)
   {
     m_options.m_seeds = std::move(aSeeds);
@@ -101,43 +103,43 @@
   {
     Term m_term;
     TimePoint m_since;
-    kj::Own<kj::PromiseFulfiller<Decided>> m_fulfiller;
+    kj::Own<kj::PromiseFulfiller<ProposalResult>> m_fulfiller;
   };
 
   struct InForceWaiter
   {
     Index m_revision;
-    TimePoint m_until;
+    TimePoint m_deadline;
     kj::Own<kj::PromiseFulfiller<bool>> m_fulfiller;
   };
 
   void taskFailed(kj::Exception&& aException) override;
   kj::Promise<void> TickLoop();
   kj::Promise<void> DiskLoop();
-  void NoteDisk(const std::optional<storage::Failure>& aRefusal);
+  void UpdateDiskState(const std::optional<storage::Failure>& aFailure);
   kj::Promise<void> SnapshotLoop();
   kj::Promise<void> JoinLoop();
-  kj::Promise<void> AskAdmission(const std::string& aSeed);
-  void AskSeeds();
+  kj::Promise<void> RequestAdmission(const std::string& aSeed);
+  void RequestAdmissionFromSeeds();
   std::vector<std::string> SeedsWithLog() const;
   void FormGroup();
-  void DropSilentVoter(TimePoint aNow);
+  void RemoveUnresponsiveVoter(TimePoint aNow);
   bool IsSafelyFormed() const;
-  void NoteFormation(TimePoint aNow);
+  void RecordFormation(TimePoint aNow);
   bool NeedsAdmission(TimePoint aNow);
   void Pump();
   void Run(consensus::Persist aPersist);
   void Run(const consensus::Send& aSend);
   void Run(const consensus::Apply& aApply);
   void Run(const consensus::Restore& aRestore);
-  void FollowRole();
+  void UpdateRole();
   void FailWaiters();
   void WakeViewWaiters();
   void CheckInForce();
-  void Lead(TimePoint aNow);
+  void RunLeaderDuties(TimePoint aNow);
   void ExpireOutcomes(TimePoint aNow);
   void AdvanceWaves(TimePoint aNow);
-  void ProposeAlone(const fleet::Command& aCommand);
+  void ProposeDuty(const fleet::Command& aCommand);
   void MaybeCompact();
   std::optional<std::string> AddressOf(const consensus::ReplicaId& aId) const;
   Peer* FindPeer(const consensus::ReplicaId& aId);
@@ -153,38 +155,38 @@
   DiskThread m_disk;
   rpc::Mailbox<EncodedState> m_encoded;
   SnapshotThread m_snapshots;
-  bool m_encoding = false;
+  bool m_isEncoding = false;
   std::size_t m_bytesSinceSnapshot = 0;
   std::size_t m_snapshotBytes = 0;
-  bool m_isDiskRefusing = false;
+  bool m_isDiskFailing = false;
   bool m_wasLeader = false;
-  bool m_pumping = false;
-  std::size_t m_proposedAlone = 0;
+  bool m_isPumping = false;
+  std::size_t m_pendingDuties = 0;
   TimePoint m_nextDuties;
-  struct Mark
+  struct IndexTime
   {
     Index m_index;
     TimePoint m_at;
   };
-  /** When which part of the log was seen; expiry of outcomes goes by it. */
-  std::deque<Mark> m_marks;
+  /** Times at which log positions were applied; used to expire outcomes. */
+  std::deque<IndexTime> m_indexTimes;
   std::map<std::string, Peer> m_peers;
   consensus::MembershipPolicy m_policy;
-  /** Seeds that said that they keep no log. */
+  /** Seeds that have answered that they keep no log. */
   std::set<std::string> m_seedsWithoutLog;
   /** When this replica last led or knew a leader. */
-  TimePoint m_hadLeaderAt;
-  /** Of senders that the membership here does not name. */
+  TimePoint m_lastLeaderAt;
+  /** Reply addresses of senders that are not in this replica's membership. */
   std::map<consensus::ReplicaId, std::string> m_replyTo;
   std::map<Index, Waiter> m_waiters;
-  std::list<InForceWaiter> m_inForce;
+  std::list<InForceWaiter> m_inForceWaiters;
   std::vector<kj::Own<kj::PromiseFulfiller<void>>> m_viewWaiters;
   kj::TaskSet m_tasks;
 };
 
 class JobService;
 
-/** The RPC face of a node; aJobs may be null. */
+/** Creates the RPC server of a node; aJobs may be null. */
 schema::Control::Client MakeControlServer(Node& aNode, JobService* aJobs);
 
 /** Accepts RPC connections until the promise is dropped. */
--- a/include/bamboostile/control/pace.h
+++ b/include/bamboostile/control/pace.h
@@ -8,51 +8,51 @@
 
 namespace bamboostile::control {
 
-/** Where a leader's time goes, and where others wait for it. */
+/** Stages of the leader's work whose latency is measured. */
 enum class Stage
 {
-  /** From the arrival of a report to the event loop's turn for it. */
+  /** From the arrival of a report until the event loop handles it. */
   kReportQueued,
   /** From the arrival of a report to its answer. */
   kReportAnswered,
-  /** From a proposed batch to its commit. */
+  /** From the proposal of a batch to its commit. */
   kBatchCommitted,
-  kPassOfPlacing,
-  kInstancesFollowed,
-  /** By how much the regular look came later than planned. */
+  kPlanPass,
+  kInstanceTick,
+  /** Delay of a tick behind its due time. */
   kTickLate,
-  /** From the decision on an order for an instance to its first byte. */
+  /** From the decision on an order for an instance to its first byte sent. */
   kOrderSent,
-  /** From that decision to the moment at which its answer counts. */
+  /** From the decision on an order until its answer is handled. */
   kOrderAnswered,
-  /** From an answer on the event loop to the HTTP thread's turn for it. */
+  /** From an answer on the event loop until the HTTP thread writes it. */
   kAnswerWritten,
 };
 
 /**
- * @brief The longest wait at each stage, logged once in a second.
+ * @brief Keeps the maximum latency of each stage and logs it once per second.
  *
- * What stands still shows as one stage growing while the others do not, which
- * sums and means hide. Stages end on several threads.
+ * If one stage stalls, its maximum grows while the others do not, which sums
+ * and means would hide. Thread-safe, as stages end on several threads.
  */
-class Pace
+class StageLatencies
 {
 public:
   void Observe(Stage aStage, Duration aTook);
-  /** Writes a line where a second has passed since the last one. */
-  void Log(TimePoint aNow, std::size_t aOrdersUnderWay);
+  /** Writes a log line if a second has passed since the last one. */
+  void Log(TimePoint aNow, std::size_t aPendingOrders);
 
 private:
-  struct Seen
+  struct StageMax
   {
     std::size_t m_count = 0;
-    Duration m_longest{};
+    Duration m_max{};
   };
 
-  static constexpr std::size_t kStages = 9;
+  static constexpr std::size_t kStageCount = 9;
   std::mutex m_mutex;
-  std::array<Seen, kStages> m_seen{};
-  TimePoint m_nextLine;
+  std::array<StageMax, kStageCount> m_stages{};
+  TimePoint m_nextLogAt;
 };
 
 } // namespace bamboostile::control
--- a/include/bamboostile/control/relay.h
+++ b/include/bamboostile/control/relay.h
@@ -7,20 +7,21 @@
 
 namespace bamboostile::control {
 
-/** RPC address of the leader; empty while none is known. */
+/** Returns the leader's RPC address; empty if no leader is known. */
 using LeaderAddress = std::function<std::string()>;
 
 enum class RelayKind
 {
-  /** Its instance has no disk: it never becomes a replica. */
+  /** The instance has no disk, so the process never becomes a replica. */
   kWithoutDisk,
-  /** Its disk refuses for now; it becomes a replica once it can be opened. */
+  /** The disk cannot be opened at present; the process becomes a replica once
+   * it can. */
   kAwaitsDisk,
 };
 
 /**
- * @brief The RPC face of a control process that keeps no log: it takes no part
- * in the group and names the leader to whoever asks.
+ * @brief Creates the RPC server of a control process that keeps no log. It
+ * takes no part in the group and tells its callers the leader's address.
  */
 schema::Control::Client MakeRelayServer(RelayKind aKind, LeaderAddress aLeader);
 
--- a/include/bamboostile/control/snapshot_thread.h
+++ b/include/bamboostile/control/snapshot_thread.h
@@ -20,9 +20,9 @@
 /**
  * @brief Encodes copies of the state on a thread of its own.
  *
- * On the control thread it would hold up every commit, the longer the more
- * outcomes are recorded; copying the state is several times cheaper
- * (docs/design/storage.md).
+ * Encoding on the control thread would delay every commit, and the delay grows
+ * with the number of recorded outcomes. Copying the state is several times
+ * cheaper (docs/design/storage.md).
  */
 class SnapshotThread
 {
@@ -30,7 +30,8 @@
   explicit SnapshotThread(rpc::Mailbox<EncodedState>& aDone);
   ~SnapshotThread();
 
-  /** One at a time: the next copy may come once the last one is done. */
+  /** Encodes one copy at a time: call again only after the previous one is
+   * done. */
   void Encode(fleet::State aCopy);
 
 private:
--- a/include/bamboostile/control/worker_api.h
+++ b/include/bamboostile/control/worker_api.h
@@ -6,10 +6,10 @@
 namespace bamboostile::control {
 
 /**
- * @brief Workers' reports at a control replica's HTTP address:
- * POST /v1/workers/{id}/report and /v1/workers/{id}/leave.
+ * @brief Handles workers' requests at a control replica's HTTP address: POST
+ * /v1/workers/{id}/report and /v1/workers/{id}/leave.
  *
- * A replica that does not lead answers 503; the worker asks the next.
+ * A replica that does not lead answers 503; the worker then tries the next one.
  */
 class WorkerApi
 {
@@ -20,7 +20,8 @@
   {
   }
 
-  /** On the server's thread; false where the path is none of these. */
+  /** Called on the server's thread; returns false if the request is not one of
+   * these. */
   bool Handle(http::Server& aServer,
               const std::shared_ptr<http::Exchange>& aExchange);
 
--- a/src/control/disk_thread.cpp
+++ b/src/control/disk_thread.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-/** Between two tries of a write that the disk refuses. Room comes back within
- * seconds at best, and callers wait three seconds for a commit. */
-constexpr Duration kTryAgain = Millis{ 100 };
+/** Interval between retries of a failed write. A full disk has free space again
+ * after seconds at best, and callers wait three seconds for a commit. */
+constexpr Duration kRetryInterval = Millis{ 100 };
 
 } // namespace
 
@@ -38,11 +38,11 @@
   m_wake.notify_one();
 }
 
-// Entries of a later write replace those at the same positions, and recovery
-// takes a frame's entries in order, so writes can be laid end to end. A
-// snapshot starts a new file and stays alone.
+// Appends a later write to an earlier one. Its entries replace those at the
+// same positions, and recovery reads a frame's entries in order, so the two can
+// be concatenated. A snapshot starts a new file and is never merged.
 void
-DiskThread::Join(consensus::Persist& aInto, consensus::Persist aNext)
+DiskThread::Merge(consensus::Persist& aInto, consensus::Persist aNext)
 {
   aInto.m_ticket = aNext.m_ticket;
   if (aNext.m_hardState) {
@@ -68,28 +68,28 @@
       m_queue.pop_front();
       while (!write.m_snapshot && !m_queue.empty() &&
              !m_queue.front().m_snapshot) {
-        Join(write, std::move(m_queue.front()));
+        Merge(write, std::move(m_queue.front()));
         m_queue.pop_front();
       }
     }
-    if (!WriteUntilTaken(write)) {
+    if (!WriteWithRetry(write)) {
       return;
     }
   }
 }
 
 bool
-DiskThread::IsStoppedWithin(Duration aPause)
+DiskThread::WaitForStop(Duration aPause)
 {
   std::unique_lock lock(m_mutex);
   return m_wake.wait_for(lock, aPause, [this]() { return m_stop; });
 }
 
-// What depends on the write is kept back until it is reported as synced, so a
-// replica on a full disk acknowledges nothing and gives no vote, but lives on,
-// and goes on where it was when there is room again.
+// Everything that depends on a write waits until it is reported as synced. So a
+// replica on a full disk acknowledges nothing and grants no vote, but the
+// process keeps running and continues once the disk has free space.
 bool
-DiskThread::WriteUntilTaken(const consensus::Persist& aPersist)
+DiskThread::WriteWithRetry(const consensus::Persist& aPersist)
 {
   bool isReported = false;
   while (true) {
@@ -102,7 +102,7 @@
       m_reports.Put(DiskReport{ 0, failure });
     }
     isReported = true;
-    if (!storage::MayPass(failure) || IsStoppedWithin(kTryAgain)) {
+    if (!storage::MayPass(failure) || WaitForStop(kRetryInterval)) {
       return false;
     }
   }
--- a/src/control/instance_service.cpp
+++ b/src/control/instance_service.cpp
@@ -9,15 +9,16 @@
 using telemetry::Level;
 using telemetry::LogLine;
 
-/** Workers tell where they are; the list is for those that are off, */
+/** Workers report their own instance; the list covers instances that are off.
+ */
 constexpr Duration kListInterval = Millis{ 5000 };
-/** And for what a wave waits for. */
-constexpr Duration kListSoon = Millis{ 250 };
-/** An order that could not be put on record by then is dropped: it was right
- * when it was decided, and the next look decides anew. */
-constexpr Duration kRecordWithin = Millis{ 250 };
-/** Enough to see a peak of some seconds come and go. */
-constexpr Duration kNeedsLogInterval = Millis{ 1000 };
+/** Interval while a maintenance wave waits for an instance in the list. */
+constexpr Duration kUrgentListInterval = Millis{ 250 };
+/** An order whose record takes longer than this to commit is dropped: the
+ * decision is out of date, and the next tick decides again. */
+constexpr Duration kMaxRecordDelay = Millis{ 250 };
+/** Short enough to show a peak of a few seconds. */
+constexpr Duration kCapacityLogInterval = Millis{ 1000 };
 
 } // namespace
 
@@ -26,20 +27,20 @@
                                  placement::MaintenanceOptions aMaintenance,
                                  placement::CapacityOptions aCapacity,
                                  Term aTerm,
-                                 Pace& aPace,
-                                 Ended aEnded)
+                                 StageLatencies& aLatencies,
+                                 EndedHandler aOnEnded)
   : m_node(aNode)
   , m_calls(aCalls)
   , m_term(aTerm)
-  , m_pace(aPace)
-  , m_ended(std::move(aEnded))
-  , m_moves(aCapacity.m_mechanisms.Has(placement::Mechanism::kMoves))
+  , m_latencies(aLatencies)
+  , m_onEnded(std::move(aOnEnded))
+  , m_movesEnabled(aCapacity.m_mechanisms.Has(placement::Mechanism::kMoves))
   , m_maintenance(aMaintenance)
   , m_capacity(aCapacity)
-  , m_record(aCapacity.m_betweenLeaders)
+  , m_orderRecord(aCapacity.m_betweenLeaders)
   , m_tasks(*this)
 {
-  m_record.Inherit(m_node.State().RecentOrders(), MonotonicNow());
+  m_orderRecord.Inherit(m_node.State().RecentOrders(), MonotonicNow());
   m_tasks.add(MaintenanceLoop());
   m_tasks.add(MoveLoop());
   m_tasks.add(ListLoop());
@@ -48,24 +49,25 @@
 void
 InstanceService::taskFailed(kj::Exception&& aException)
 {
-  LogLine(Level::kWarning, "a task of the instances failed")
+  LogLine(Level::kWarning, "instance task failed")
     .With("reason", std::string{ aException.getDescription().cStr() })
     .Write();
 }
 
-// An order that waits takes effect on what has changed since it was decided:
-// how long each waited, and where, tells a slow platform from a full leader.
+// An order that is delayed meets a state that has changed since the decision.
+// Logging how long it waited, and where, distinguishes a slow platform from an
+// overloaded leader.
 void
-InstanceService::Note(LogLine aLine,
-                      const InstanceCalls::Answer& aAnswer,
-                      TimePoint aDecidedAt)
+InstanceService::LogAnswer(LogLine aLine,
+                           const InstanceCalls::Answer& aAnswer,
+                           TimePoint aDecidedAt)
 {
   const Duration handledAfter = MonotonicNow() - aDecidedAt;
-  m_pace.Observe(Stage::kOrderAnswered, handledAfter);
+  m_latencies.Observe(Stage::kOrderAnswered, handledAfter);
   aLine.With("answer", placement::Describe(aAnswer.m_answer))
     .With("handledAfterMs", ToMillis(handledAfter).count());
   if (aAnswer.m_sentAfter) {
-    m_pace.Observe(Stage::kOrderSent, *aAnswer.m_sentAfter);
+    m_latencies.Observe(Stage::kOrderSent, *aAnswer.m_sentAfter);
     aLine.With("sentAfterMs", ToMillis(*aAnswer.m_sentAfter).count());
   }
   aLine.Write();
@@ -74,45 +76,43 @@
 void
 InstanceService::Tick(const placement::WorkerTable& aWorkers,
                       const placement::Durations& aDurations,
-                      bool aMayOrder,
+                      bool aOrdersAllowed,
                       TimePoint aNow,
                       WallTime aWall)
 {
   m_cordoned.clear();
-  m_capacity.AllowOrders(aMayOrder);
-  ReadList(PlanMaintenance(aWorkers, aMayOrder, aNow), aNow);
+  m_capacity.AllowOrders(aOrdersAllowed);
+  RequestList(PlanMaintenance(aWorkers, aOrdersAllowed, aNow), aNow);
   PlanMoves(aWorkers, aDurations, aNow, aWall);
 }
 
-// --------------------------------------------------------------------
-// maintenance
-
 placement::MaintenancePlan
 InstanceService::PlanMaintenance(const placement::WorkerTable& aWorkers,
-                                 bool aMayOrder,
+                                 bool aOrdersAllowed,
                                  TimePoint aNow)
 {
   placement::MaintenancePlan plan =
     m_maintenance.Next(m_node.State(), aWorkers, aNow);
   m_cordoned.insert(plan.m_cordoned.begin(), plan.m_cordoned.end());
-  // What has been proposed but not applied would be proposed again.
-  if (m_advancing == 0) {
+  // A step that is proposed but not yet applied would be proposed again.
+  if (m_pendingAdvances == 0) {
     for (const placement::MaintenanceAdvance& advance : plan.m_advances) {
-      Advance(advance);
+      ProposeAdvance(advance);
     }
   }
   if (!m_calls.m_maintenance) {
     return plan;
   }
   for (const placement::MaintenanceOrder& order : plan.m_orders) {
-    // The rest stays planned, and is looked at anew before it is sent.
-    if (!aMayOrder ||
-        m_ordersUnderWay.size() >= placement::kMostOrdersUnderWay) {
+    // The remaining orders stay planned and are checked again before they are
+    // sent.
+    if (!aOrdersAllowed ||
+        m_pendingMaintenance.size() >= placement::kMostOrdersUnderWay) {
       break;
     }
-    if (m_ordersUnderWay.emplace(order.m_wave, order.m_instance).second) {
+    if (m_pendingMaintenance.emplace(order.m_wave, order.m_instance).second) {
       m_capacity.OnOtherOrders(1);
-      m_record.OnOrdered(order.m_instance);
+      m_orderRecord.OnOrdered(order.m_instance);
       m_calls.m_maintenance(
         order, m_term, [answers = m_answers, order, aNow](const auto& aAnswer) {
           answers->m_maintenance.Put({ order, aAnswer, aNow });
@@ -123,7 +123,7 @@
 }
 
 void
-InstanceService::Advance(const placement::MaintenanceAdvance& aAdvance)
+InstanceService::ProposeAdvance(const placement::MaintenanceAdvance& aAdvance)
 {
   const fleet::AdvanceMaintenance& change = aAdvance.m_change;
   LogLine(Level::kInfo, "maintenance advances")
@@ -132,15 +132,17 @@
     .With("to", fleet::Describe(change.m_to))
     .With("because", placement::Describe(aAdvance.m_cause))
     .Write();
-  ++m_advancing;
-  // Applying this puts the order on record; it stays there until answered.
+  ++m_pendingAdvances;
+  // Applying this change records the order; the record stays until the order is
+  // answered.
   if (change.m_to == fleet::MaintenanceStep::kOrdered) {
-    m_record.OnOrdered(change.m_instance);
+    m_orderRecord.OnOrdered(change.m_instance);
   }
-  m_tasks.add(m_node.Propose(change).then([this, change](const Decided&) {
-    --m_advancing;
-    m_ordersUnderWay.erase({ change.m_wave, change.m_instance });
-  }));
+  m_tasks.add(
+    m_node.Propose(change).then([this, change](const ProposalResult&) {
+      --m_pendingAdvances;
+      m_pendingMaintenance.erase({ change.m_wave, change.m_instance });
+    }));
 }
 
 kj::Promise<void>
@@ -149,84 +151,89 @@
   return m_answers->m_maintenance.Take().then(
     [this](const std::vector<MaintenanceReply>& aReplies) {
       for (const MaintenanceReply& reply : aReplies) {
-        On(reply);
+        HandleReply(reply);
       }
       return MaintenanceLoop();
     });
 }
 
 void
-InstanceService::On(const MaintenanceReply& aReply)
+InstanceService::HandleReply(const MaintenanceReply& aReply)
 {
-  m_record.OnAnswered(aReply.m_order.m_instance, MonotonicNow());
-  Note(LogLine(Level::kInfo, "maintenance order answered")
-         .With("wave", aReply.m_order.m_wave)
-         .With("ofInstance", aReply.m_order.m_instance.Get()),
-       aReply.m_answer,
-       aReply.m_decidedAt);
+  m_orderRecord.OnAnswered(aReply.m_order.m_instance, MonotonicNow());
+  LogAnswer(LogLine(Level::kInfo, "maintenance order answered")
+              .With("wave", aReply.m_order.m_wave)
+              .With("ofInstance", aReply.m_order.m_instance.Get()),
+            aReply.m_answer,
+            aReply.m_decidedAt);
   const std::pair order{ aReply.m_order.m_wave, aReply.m_order.m_instance };
   if (!m_node.IsServing()) {
-    m_ordersUnderWay.erase(order);
+    m_pendingMaintenance.erase(order);
     return;
   }
   const placement::MaintenanceResult next = m_maintenance.OnAnswer(
     aReply.m_order, aReply.m_answer.m_answer, MonotonicNow());
   if (next.m_ended) {
-    m_ended(*next.m_ended, aReply.m_decidedAt);
+    m_onEnded(*next.m_ended, aReply.m_decidedAt);
   }
-  // Until what the answer changes is committed, the plan would repeat the
-  // order.
+  // The plan would repeat the order until the change caused by the answer is
+  // committed.
   if (next.m_advance) {
-    Advance(*next.m_advance);
+    ProposeAdvance(*next.m_advance);
   } else {
-    m_ordersUnderWay.erase(order);
+    m_pendingMaintenance.erase(order);
   }
 }
 
-// --------------------------------------------------------------------- moves
-
 void
 InstanceService::PlanMoves(const placement::WorkerTable& aWorkers,
                            const placement::Durations& aDurations,
                            TimePoint aNow,
                            WallTime aWall)
 {
-  if (!m_calls.m_move || !m_moves) {
+  if (!m_calls.m_move || !m_movesEnabled) {
     return;
   }
-  const placement::CapacityPlan plan = m_capacity.Next(
-    m_node.State(), aWorkers, m_cordoned, aDurations, m_record, aNow, aWall);
+  const placement::CapacityPlan plan = m_capacity.Next(m_node.State(),
+                                                       aWorkers,
+                                                       m_cordoned,
+                                                       aDurations,
+                                                       m_orderRecord,
+                                                       aNow,
+                                                       aWall);
   m_cordoned.insert(plan.m_cordoned.begin(), plan.m_cordoned.end());
-  LogNeeds(plan.m_needs, aNow);
+  LogCapacity(plan.m_needs, aNow);
   for (const placement::MoveOrder& order : plan.m_orders) {
     LogLine(Level::kInfo, "moving an instance")
       .With("ofInstance", order.m_instance.Get())
       .With("to", order.m_to.Get())
       .Write();
   }
-  Record(plan.m_orders, aNow);
+  RecordAndSend(plan.m_orders, aNow);
 }
 
-// A later leader finds on record what it must not order too soon. An order that
-// left without having been committed would be missing there.
+// Orders are committed before they are sent, since a later leader reads from
+// the record which instances it must not order again too soon. An order that
+// was sent without being committed would be missing there.
 void
-InstanceService::Record(std::vector<placement::MoveOrder> aOrders,
-                        TimePoint aDecidedAt)
+InstanceService::RecordAndSend(std::vector<placement::MoveOrder> aOrders,
+                               TimePoint aDecidedAt)
 {
   fleet::RecordOrders record;
   for (const placement::MoveOrder& order : aOrders) {
     record.m_ordered.push_back(order.m_instance);
-    m_record.OnOrdered(order.m_instance);
+    m_orderRecord.OnOrdered(order.m_instance);
   }
-  record.m_settled = m_record.TakeSettled(aDecidedAt);
+  record.m_settled = m_orderRecord.TakeSettled(aDecidedAt);
   if (record.m_ordered.empty() && record.m_settled.empty()) {
     return;
   }
-  m_movesUnderWay += aOrders.size();
-  m_tasks.add(m_node.Propose(record).then(
-    [this, orders = std::move(aOrders), aDecidedAt](const Decided& aDecided) {
+  m_pendingMoves += aOrders.size();
+  m_tasks.add(
+    m_node.Propose(record).then([this, orders = std::move(aOrders), aDecidedAt](
+                                  const ProposalResult& aResult) {
       for (const placement::MoveOrder& order : orders) {
-        Send(order, aDecided.m_effect.has_value(), aDecidedAt);
+        Send(order, aResult.m_effect.has_value(), aDecidedAt);
       }
     }));
 }
@@ -236,11 +243,11 @@
                       bool aIsRecorded,
                       TimePoint aDecidedAt)
 {
-  const bool isLate = MonotonicNow() > aDecidedAt + kRecordWithin;
+  const bool isLate = MonotonicNow() > aDecidedAt + kMaxRecordDelay;
   const bool leads =
     m_node.IsServing() && m_node.Replica().CurrentTerm() == m_term;
   if (!aIsRecorded || isLate || !leads) {
-    On(MoveReply{
+    HandleReply(MoveReply{
       aOrder, { placement::InstanceAnswer::kNotSent, {} }, aDecidedAt });
     return;
   }
@@ -253,21 +260,21 @@
 }
 
 void
-InstanceService::LogNeeds(const std::vector<placement::PoolNeed>& aNeeds,
-                          TimePoint aNow)
+InstanceService::LogCapacity(const std::vector<placement::PoolNeed>& aPools,
+                             TimePoint aNow)
 {
-  if (aNow < m_nextNeedsLog) {
+  if (aNow < m_nextCapacityLog) {
     return;
   }
-  m_nextNeedsLog = aNow + kNeedsLogInterval;
-  for (const placement::PoolNeed& need : aNeeds) {
+  m_nextCapacityLog = aNow + kCapacityLogInterval;
+  for (const placement::PoolNeed& pool : aPools) {
     LogLine(Level::kInfo, "capacity of a pool")
-      .With("service", need.m_service.Get())
-      .With("have", need.m_have)
-      .With("want", need.m_want)
-      .With("workCoreSeconds", need.m_workCoreSeconds)
-      .With("cores", need.m_cores)
-      .With("usedCores", need.m_usedCores)
+      .With("service", pool.m_service.Get())
+      .With("have", pool.m_have)
+      .With("want", pool.m_want)
+      .With("workCoreSeconds", pool.m_workCoreSeconds)
+      .With("cores", pool.m_cores)
+      .With("usedCores", pool.m_usedCores)
       .Write();
   }
 }
@@ -278,22 +285,22 @@
   return m_answers->m_moves.Take().then(
     [this](const std::vector<MoveReply>& aReplies) {
       for (const MoveReply& reply : aReplies) {
-        On(reply);
+        HandleReply(reply);
       }
       return MoveLoop();
     });
 }
 
 void
-InstanceService::On(const MoveReply& aReply)
+InstanceService::HandleReply(const MoveReply& aReply)
 {
-  --m_movesUnderWay;
-  m_record.OnAnswered(aReply.m_order.m_instance, MonotonicNow());
-  Note(LogLine(Level::kInfo, "move answered")
-         .With("ofInstance", aReply.m_order.m_instance.Get())
-         .With("to", aReply.m_order.m_to.Get()),
-       aReply.m_answer,
-       aReply.m_decidedAt);
+  --m_pendingMoves;
+  m_orderRecord.OnAnswered(aReply.m_order.m_instance, MonotonicNow());
+  LogAnswer(LogLine(Level::kInfo, "move answered")
+              .With("ofInstance", aReply.m_order.m_instance.Get())
+              .With("to", aReply.m_order.m_to.Get()),
+            aReply.m_answer,
+            aReply.m_decidedAt);
   if (aReply.m_answer.m_answer != placement::InstanceAnswer::kTaken) {
     m_nextList = TimePoint{};
   }
@@ -303,24 +310,25 @@
   const auto ended = m_capacity.OnAnswer(
     aReply.m_order, aReply.m_answer.m_answer, MonotonicNow());
   if (ended) {
-    m_ended(*ended, aReply.m_decidedAt);
+    m_onEnded(*ended, aReply.m_decidedAt);
   }
 }
 
 void
-InstanceService::ReadList(const placement::MaintenancePlan& aMaintenance,
-                          TimePoint aNow)
+InstanceService::RequestList(const placement::MaintenancePlan& aMaintenance,
+                             TimePoint aNow)
 {
   if (aMaintenance.m_wantsList) {
-    m_nextList = std::min<TimePoint>(m_nextList, m_listedAt + kListSoon);
+    m_nextList =
+      std::min<TimePoint>(m_nextList, m_listRequestedAt + kUrgentListInterval);
   }
-  const bool isUsed =
+  const bool isNeeded =
     aMaintenance.m_isOpen || m_node.State().Routes().StandbyPool() != nullptr;
-  if (!m_calls.m_list || m_isListing || aNow < m_nextList || !isUsed) {
+  if (!m_calls.m_list || m_isListPending || aNow < m_nextList || !isNeeded) {
     return;
   }
-  m_isListing = true;
-  m_listedAt = aNow;
+  m_isListPending = true;
+  m_listRequestedAt = aNow;
   m_nextList = aNow + kListInterval;
   m_calls.m_list([answers = m_answers, aNow](auto aInstances) {
     answers->m_lists.Put({ aNow, std::move(aInstances) });
@@ -331,15 +339,15 @@
 InstanceService::ListLoop()
 {
   return m_answers->m_lists.Take().then([this](std::vector<List> aLists) {
-    On(std::move(aLists.back()));
+    HandleList(std::move(aLists.back()));
     return ListLoop();
   });
 }
 
 void
-InstanceService::On(List aList)
+InstanceService::HandleList(List aList)
 {
-  m_isListing = false;
+  m_isListPending = false;
   if (!aList.m_instances) {
     return;
   }
@@ -347,7 +355,8 @@
   if (standby != nullptr) {
     m_capacity.OnListed(*aList.m_instances, *standby, MonotonicNow());
   }
-  m_maintenance.OnListed({ aList.m_askedAt, std::move(*aList.m_instances) });
+  m_maintenance.OnListed(
+    { aList.m_requestedAt, std::move(*aList.m_instances) });
 }
 
 } // namespace bamboostile::control
--- a/src/control/job_service.cpp
+++ b/src/control/job_service.cpp
@@ -14,22 +14,23 @@
 using telemetry::Level;
 using telemetry::LogLine;
 
-constexpr kj::Duration kTick = 50 * kj::MILLISECONDS;
-/** Without any event, placing still looks this often: due times pass, and
- * workers that were set aside come back. */
-constexpr Duration kPassInterval = Millis{ 250 };
-constexpr Duration kInstancesInterval = Millis{ 100 };
-constexpr Duration kLostInterval = Millis{ 50 };
-constexpr Duration kForgetInterval = std::chrono::seconds{ 5 };
-constexpr Duration kSettleInterval = std::chrono::seconds{ 1 };
-/** The platform keeps an instance down for longer than this: what is heard of
- * it earlier after an order is a life that the order ended. */
-constexpr Duration kSoonestNextLife = Millis{ 1000 };
-/** What a caller whose job was not taken is told to wait. */
+constexpr kj::Duration kTickInterval = 50 * kj::MILLISECONDS;
+/** Maximum time between placement passes when no event triggers one: due times
+ * pass, and excluded workers become available again. */
+constexpr Duration kPlanInterval = Millis{ 250 };
+constexpr Duration kInstanceTickInterval = Millis{ 100 };
+constexpr Duration kLostCheckInterval = Millis{ 50 };
+constexpr Duration kRemoveEndedInterval = std::chrono::seconds{ 5 };
+constexpr Duration kStableCheckInterval = std::chrono::seconds{ 1 };
+/** The platform keeps an instance down for longer than this. A report that
+ * arrives earlier after an order is from an incarnation that the order ended.
+ */
+constexpr Duration kMinInstanceDowntime = Millis{ 1000 };
+/** Retry delay sent to a caller whose job was not accepted. */
 constexpr Millis kRetryAfter{ 1000 };
 
 jobs::QueueReply
-Plain(jobs::QueueOutcome aOutcome)
+ReplyWith(jobs::QueueOutcome aOutcome)
 {
   jobs::QueueReply reply;
   reply.m_outcome = aOutcome;
@@ -37,10 +38,10 @@
 }
 
 const jobs::BatchReply*
-ReplyOf(const Decided& aDecided)
+ReplyOf(const ProposalResult& aResult)
 {
-  return aDecided.m_effect ? std::get_if<jobs::BatchReply>(&*aDecided.m_effect)
-                           : nullptr;
+  return aResult.m_effect ? std::get_if<jobs::BatchReply>(&*aResult.m_effect)
+                          : nullptr;
 }
 
 } // namespace
@@ -73,10 +74,8 @@
     .Write();
 }
 
-// ----------------------------------------------------------------- leadership
-
 bool
-JobService::Leads()
+JobService::EnsureLeading()
 {
   if (!m_node.IsServing()) {
     return false;
@@ -92,19 +91,19 @@
       m_options.m_maintenance,
       m_options.m_capacity,
       term,
-      m_pace,
+      m_latencies,
       [this](const WorkerLife& aWorker, TimePoint aOrderedAt) {
-        OnOrderTaken(aWorker, aOrderedAt);
+        OnOrderAccepted(aWorker, aOrderedAt);
       });
-    m_gathered.clear();
+    m_queuedChanges.clear();
     m_startedAt.clear();
-    m_isDirty = true;
+    m_needsPlan = true;
   }
   return true;
 }
 
 WorkerAnswer
-JobService::NotLeading() const
+JobService::NotLeaderAnswer() const
 {
   WorkerAnswer answer;
   answer.m_leaderAddress = m_node.LeaderAddress();
@@ -112,8 +111,6 @@
   return answer;
 }
 
-// ---------------------------------------------------------------------- runs
-
 void
 JobService::StopStuckRuns(TimePoint aNow)
 {
@@ -129,45 +126,48 @@
 }
 
 void
-JobService::OnLifeEnded(const WorkerLife& aWorker)
+JobService::OnIncarnationEnded(const WorkerLife& aWorker)
 {
-  Gather(m_workers->Retire(aWorker, m_node.State().Jobs(), WallNow()));
-  m_isDirty = true;
-  Kick();
+  QueueEnds(m_workers->Retire(aWorker, m_node.State().Jobs(), WallNow()));
+  m_needsPlan = true;
+  ScheduleCycle();
 }
 
 void
-JobService::OnOrderTaken(const WorkerLife& aWorker, TimePoint aOrderedAt)
+JobService::OnOrderAccepted(const WorkerLife& aWorker, TimePoint aOrderedAt)
 {
-  Gather(m_workers->RetireInstance(
-    aWorker, aOrderedAt + kSoonestNextLife, m_node.State().Jobs(), WallNow()));
-  m_isDirty = true;
-  Kick();
+  QueueEnds(m_workers->RetireInstance(aWorker,
+                                      aOrderedAt + kMinInstanceDowntime,
+                                      m_node.State().Jobs(),
+                                      WallNow()));
+  m_needsPlan = true;
+  ScheduleCycle();
 }
 
 std::string
 JobService::RenderMetrics()
 {
-  const jobs::Book& book = m_node.State().Jobs();
-  m_metrics.Set("leader", Leads() ? 1 : 0);
+  const jobs::Book& jobTable = m_node.State().Jobs();
+  m_metrics.Set("leader", EnsureLeading() ? 1 : 0);
   m_metrics.Set("term",
                 static_cast<double>(m_node.Replica().CurrentTerm().Get()));
   m_metrics.Set("routes_version",
                 static_cast<double>(m_node.State().Routes().m_version));
-  m_metrics.Set("jobs_open", static_cast<double>(book.Open().size()));
+  m_metrics.Set("jobs_open", static_cast<double>(jobTable.Open().size()));
   m_metrics.Set("tasks_lost_with_workers",
-                static_cast<double>(book.LostWithWorkers().size()));
-  m_metrics.Set("workers_with_runs", static_cast<double>(book.Placed().size()));
+                static_cast<double>(jobTable.LostWithWorkers().size()));
+  m_metrics.Set("workers_with_runs",
+                static_cast<double>(jobTable.Placed().size()));
   return m_metrics.Render();
 }
 
 void
-JobService::Gather(std::vector<jobs::EndRun> aEnds)
+JobService::QueueEnds(std::vector<jobs::EndRun> aEnds)
 {
   for (const placement::LostWorker& lost : m_workers->TakeLost()) {
     m_metrics.Count(std::string{ "workers_lost_total{cause=\"" } +
                     placement::Describe(lost.m_cause) + "\"}");
-    LineOf(Level::kWarning, "worker lost", lost.m_worker)
+    WorkerLogLine(Level::kWarning, "worker lost", lost.m_worker)
       .With("ofInstance", lost.m_instance.Get())
       .With("cause", placement::Describe(lost.m_cause))
       .With("silentMs", ToMillis(lost.m_silentFor).count())
@@ -181,9 +181,9 @@
                     jobs::Describe(end.m_how) + "\"}");
     const jobs::Task* task = m_node.State().Jobs().FindTask(end.m_task);
     if (end.m_how != jobs::RunEnd::kDone || end.m_isLate) {
-      LineOf(Level::kInfo,
-             "run ended",
-             task == nullptr ? WorkerLife{} : task->m_worker)
+      WorkerLogLine(Level::kInfo,
+                    "run ended",
+                    task == nullptr ? WorkerLife{} : task->m_worker)
         .With("job", end.m_task.m_job.Get())
         .With("occurrence", end.m_task.m_occurrence)
         .With("step", end.m_task.m_step)
@@ -194,75 +194,77 @@
         .With("evidence", jobs::Describe(end.m_evidence))
         .Write();
     }
-    m_gathered.emplace_back(std::move(end));
+    m_queuedChanges.emplace_back(std::move(end));
   }
 }
 
 void
-JobService::Kick()
+JobService::ScheduleCycle()
 {
-  if (m_isCycling) {
+  if (m_isCycleActive) {
     return;
   }
-  m_isCycling = true;
-  // Later, as a cycle may find a new term and make anew what called this.
-  m_tasks.add(kj::evalLater([this]() { return Cycle(); }));
+  m_isCycleActive = true;
+  // Deferred, since a cycle may find a new term and replace the object that
+  // called this function.
+  m_tasks.add(kj::evalLater([this]() { return RunCycle(); }));
 }
 
-// One batch at a time: a plan made while starts are on their way would start
-// the same tasks twice. Ends that wait and the starts of a pass share a batch,
-// so the pass works from the ends of the batch before; a report is answered
-// once a pass has seen its ends, as its worker gets its next start with the
-// answer. A lease must not hang on that: a disk that hangs under a batch would
-// end the leases of all workers at about the same moment, so what has waited
-// its time is answered with what is committed by then.
+// Only one batch is in progress at a time: a plan made while starts are being
+// committed would start the same tasks twice. Queued ends and the starts of a
+// placement pass share a batch, so the pass works from the ends of the previous
+// batch. A report is answered once a pass has taken its ends into account, as
+// the answer carries the worker's next start. Leases must not depend on that: a
+// disk that hangs during a batch would end the leases of all workers at about
+// the same moment. So a report that has waited for its maximum delay is
+// answered with the state committed by then.
 kj::Promise<void>
-JobService::Cycle()
+JobService::RunCycle()
 {
-  if (!Leads()) {
+  if (!EnsureLeading()) {
     AnswerAllAsFollower();
-    m_isCycling = false;
+    m_isCycleActive = false;
     return kj::READY_NOW;
   }
   const TimePoint now = MonotonicNow();
   AnswerOverdue(now);
-  GatherLost(now);
-  FollowInstances(now);
-  std::vector<jobs::Change> changes = std::exchange(m_gathered, {});
+  QueueLostRuns(now);
+  TickInstances(now);
+  std::vector<jobs::Change> changes = std::exchange(m_queuedChanges, {});
   std::vector<placement::Receipt> receipts = m_workers->TakeReceipts();
-  if (!m_isDirty && changes.empty()) {
-    for (Waiting& one : m_waiting) {
-      one.m_planned = true;
+  if (!m_needsPlan && changes.empty()) {
+    for (PendingReport& report : m_pendingReports) {
+      report.m_isPlanned = true;
     }
     m_workers->Acknowledge(receipts);
     AnswerPlanned();
-    m_isCycling = false;
+    m_isCycleActive = false;
     return kj::READY_NOW;
   }
-  if (m_isDirty && m_pacer.IsDue(!changes.empty(), now)) {
+  if (m_needsPlan && m_pacer.IsDue(!changes.empty(), now)) {
     Plan(now, changes);
   }
-  for (Waiting& one : m_waiting) {
-    one.m_taken = true;
+  for (PendingReport& report : m_pendingReports) {
+    report.m_endsInBatch = true;
   }
   if (changes.empty()) {
     m_workers->Acknowledge(receipts);
     AnswerPlanned();
-    return Cycle();
+    return RunCycle();
   }
   return Commit(std::move(changes), std::move(receipts)).then([this]() {
     AnswerPlanned();
-    return Cycle();
+    return RunCycle();
   });
 }
 
 void
 JobService::Plan(TimePoint aNow, std::vector<jobs::Change>& aChanges)
 {
-  m_isDirty = false;
-  m_nextPass = aNow + kPassInterval;
-  for (Waiting& one : m_waiting) {
-    one.m_planned = one.m_planned || one.m_taken;
+  m_needsPlan = false;
+  m_nextPlan = aNow + kPlanInterval;
+  for (PendingReport& report : m_pendingReports) {
+    report.m_isPlanned = report.m_isPlanned || report.m_endsInBatch;
   }
   placement::Plan plan = m_planner.Next(
     m_node.State(), *m_workers, m_instances->Cordoned(), aNow, WallNow());
@@ -278,21 +280,21 @@
   std::move(
     plan.m_changes.begin(), plan.m_changes.end(), std::back_inserter(aChanges));
   const TimePoint ended = MonotonicNow();
-  m_pace.Observe(Stage::kPassOfPlacing, ended - aNow);
-  m_pacer.OnPlanned(aNow, ended, m_shedding);
+  m_latencies.Observe(Stage::kPlanPass, ended - aNow);
+  m_pacer.OnPlanned(aNow, ended, m_sheddingLevel);
 }
 
-// Only between batches: while one is under way the same ends may be in it.
-// Under load one follows the other for seconds, so each cycle asks; without
-// that, long-running tasks of a crashed worker would stand still until a peak
-// is over.
+// Called only between batches, as a batch in progress may contain the same
+// ends. Under load, batches follow each other for seconds, so every cycle calls
+// this; otherwise the long-running tasks of a crashed worker would stay down
+// until the end of a peak.
 void
-JobService::GatherLost(TimePoint aNow)
+JobService::QueueLostRuns(TimePoint aNow)
 {
-  if (aNow < m_nextLost) {
+  if (aNow < m_nextLostCheck) {
     return;
   }
-  m_nextLost = aNow + kLostInterval;
+  m_nextLostCheck = aNow + kLostCheckInterval;
   auto lost = m_workers->FindLost(m_node.State().Jobs(), aNow, WallNow());
   if (lost.empty()) {
     return;
@@ -300,28 +302,28 @@
   LogLine(Level::kWarning, "runs lost with their workers")
     .With("runs", lost.size())
     .Write();
-  Gather(std::move(lost));
-  Kick();
+  QueueEnds(std::move(lost));
+  ScheduleCycle();
 }
 
-// Only between batches: an instance on which a start is on its way is not idle,
-// though the state does not show it yet. Under load one batch follows the other
-// for seconds, so each cycle asks; without that no instance would be moved
-// before a peak is over.
+// Called only between batches: an instance whose start is still being committed
+// is not idle, though the state does not show the start yet. Under load,
+// batches follow each other for seconds, so every cycle calls this; otherwise
+// no instance would be moved until the end of a peak.
 void
-JobService::FollowInstances(TimePoint aNow)
+JobService::TickInstances(TimePoint aNow)
 {
-  if (aNow < m_nextInstances) {
+  if (aNow < m_nextInstanceTick) {
     return;
   }
-  m_nextInstances = aNow + kInstancesInterval;
+  m_nextInstanceTick = aNow + kInstanceTickInterval;
   m_instances->Tick(*m_workers,
                     m_planner.EstimatedDurations(),
-                    m_shedding == placement::Shedding::kNothing,
+                    m_sheddingLevel == placement::Shedding::kNothing,
                     aNow,
                     WallNow());
   m_workers->SetCordoned(m_instances->Cordoned());
-  m_pace.Observe(Stage::kInstancesFollowed, MonotonicNow() - aNow);
+  m_latencies.Observe(Stage::kInstanceTick, MonotonicNow() - aNow);
 }
 
 kj::Promise<void>
@@ -335,16 +337,16 @@
      proposedAt,
      term = m_term,
      changes = std::move(aChanges),
-     receipts = std::move(aReceipts)](const Decided& aDecided) {
+     receipts = std::move(aReceipts)](const ProposalResult& aResult) {
       const bool isSameTerm = term == m_term;
       const Duration took = MonotonicNow() - proposedAt;
-      m_pace.Observe(Stage::kBatchCommitted, took);
+      m_latencies.Observe(Stage::kBatchCommitted, took);
       m_metrics.Observe("batch_commit_seconds",
                         std::chrono::duration<double>(took).count());
-      if (ReplyOf(aDecided) == nullptr) {
-        // Whether they are committed is for the next leader to find out; the
-        // workers repeat their ends, and starts are planned anew.
-        LogLine(Level::kWarning, "a batch of runs was not decided")
+      if (ReplyOf(aResult) == nullptr) {
+        // The next leader finds out whether the changes are committed. Workers
+        // repeat their ends, and starts are planned again.
+        LogLine(Level::kWarning, "commit of a batch of runs undecided")
           .With("changes", changes.size())
           .Write();
         if (isSameTerm) {
@@ -355,15 +357,16 @@
       if (isSameTerm) {
         m_workers->Acknowledge(receipts);
       }
-      LearnFrom(changes, MonotonicNow());
-      m_isDirty = true;
+      RecordCommitted(changes, MonotonicNow());
+      m_needsPlan = true;
     });
 }
 
 void
-JobService::LearnFrom(const std::vector<jobs::Change>& aChanges, TimePoint aNow)
+JobService::RecordCommitted(const std::vector<jobs::Change>& aChanges,
+                            TimePoint aNow)
 {
-  const jobs::Book& book = m_node.State().Jobs();
+  const jobs::Book& jobTable = m_node.State().Jobs();
   for (const jobs::Change& change : aChanges) {
     if (const auto* start = std::get_if<jobs::StartRun>(&change)) {
       m_startedAt[start->m_task] = aNow;
@@ -375,7 +378,7 @@
       continue;
     }
     const auto started = m_startedAt.find(end->m_task);
-    const jobs::Job* job = book.Find(end->m_task.m_job);
+    const jobs::Job* job = jobTable.Find(end->m_task.m_job);
     if (started != m_startedAt.end() && job != nullptr &&
         end->m_how == jobs::RunEnd::kDone) {
       m_planner.Learn(job->m_spec.m_steps[end->m_task.m_step],
@@ -396,15 +399,15 @@
         .With("reason", job->m_reason)
         .With("afterMs", tookMs)
         .Write();
-      NoteIfCrashLoop(*job, *end);
+      RecordIfCrashLoop(*job, *end);
     }
   }
 }
 
-// Single jobs of a queue that crash workers are given up one by one; that the
-// queue keeps sending them is for an operator to see.
+// Jobs that crash workers are given up one by one. The metric and the log line
+// show operators that a queue keeps sending such jobs.
 void
-JobService::NoteIfCrashLoop(const jobs::Job& aJob, const jobs::EndRun& aEnd)
+JobService::RecordIfCrashLoop(const jobs::Job& aJob, const jobs::EndRun& aEnd)
 {
   if (aEnd.m_how != jobs::RunEnd::kWorkerLost ||
       aJob.m_state != jobs::JobState::kFailed) {
@@ -420,16 +423,16 @@
 }
 
 void
-JobService::FollowLoad(TimePoint aNow)
+JobService::UpdateShedding(TimePoint aNow)
 {
   const placement::Shedding level = m_shedder.Level(aNow);
-  if (level != m_shedding) {
-    LogLine(Level::kInfo, "the leader is more or less full")
+  if (level != m_sheddingLevel) {
+    LogLine(Level::kInfo, "load shedding level changed")
       .With("leavesUndone", placement::Describe(level))
-      .With("before", placement::Describe(m_shedding))
+      .With("before", placement::Describe(m_sheddingLevel))
       .Write();
   }
-  m_shedding = level;
+  m_sheddingLevel = level;
   m_workers->StretchReports(placement::ReportStretch(level));
 }
 
@@ -437,58 +440,59 @@
 JobService::TickLoop()
 {
   const TimePoint now = MonotonicNow();
-  if (Leads()) {
-    m_pace.Observe(Stage::kTickLate, now - std::min(now, m_tickDueAt));
-    m_pace.Log(now, m_instances->OrdersUnderWay());
-    FollowLoad(now);
-    if (!m_isCycling) {
-      GatherLost(now);
+  if (EnsureLeading()) {
+    m_latencies.Observe(Stage::kTickLate, now - std::min(now, m_tickDueAt));
+    m_latencies.Log(now, m_instances->PendingOrders());
+    UpdateShedding(now);
+    if (!m_isCycleActive) {
+      QueueLostRuns(now);
     }
-    if (now >= m_nextForget) {
-      m_nextForget = now + kForgetInterval;
+    if (now >= m_nextRemoveEnded) {
+      m_nextRemoveEnded = now + kRemoveEndedInterval;
       const WallTime before{ WallNow().Get() -
-                             ToMillis(m_options.m_keepEnded).count() };
-      m_gathered.emplace_back(jobs::ForgetEnded{ before });
+                             ToMillis(m_options.m_endedJobRetention).count() };
+      m_queuedChanges.emplace_back(jobs::ForgetEnded{ before });
     }
-    if (now >= m_nextSettle) {
-      m_nextSettle = now + kSettleInterval;
-      const auto settled = m_workers->FindSettled(m_node.State().Jobs(), now);
-      m_gathered.insert(m_gathered.end(), settled.begin(), settled.end());
+    if (now >= m_nextStableCheck) {
+      m_nextStableCheck = now + kStableCheckInterval;
+      const auto stable = m_workers->FindSettled(m_node.State().Jobs(), now);
+      m_queuedChanges.insert(
+        m_queuedChanges.end(), stable.begin(), stable.end());
     }
-    if (!m_isCycling) {
-      FollowInstances(now);
+    if (!m_isCycleActive) {
+      TickInstances(now);
     }
     StopStuckRuns(now);
     AnswerOverdue(now);
     AnswerHeld(true, now);
-    if (now >= m_nextPass) {
-      m_isDirty = true;
-      Kick();
+    if (now >= m_nextPlan) {
+      m_needsPlan = true;
+      ScheduleCycle();
     }
   } else {
     AnswerAllAsFollower();
   }
-  m_tickDueAt = MonotonicNow() + Millis{ kTick / kj::MILLISECONDS };
-  return m_timer.afterDelay(kTick).then([this]() { return TickLoop(); });
+  m_tickDueAt = MonotonicNow() + Millis{ kTickInterval / kj::MILLISECONDS };
+  return m_timer.afterDelay(kTickInterval).then([this]() {
+    return TickLoop();
+  });
 }
 
-// ------------------------------------------------------------------- callers
-
 kj::Promise<jobs::QueueReply>
 JobService::Call(jobs::QueueCall aCall)
 {
-  if (!Leads()) {
-    jobs::QueueReply reply = Plain(jobs::QueueOutcome::kNotLeader);
+  if (!EnsureLeading()) {
+    jobs::QueueReply reply = ReplyWith(jobs::QueueOutcome::kNotLeader);
     reply.m_leaderAddress = m_node.LeaderAddress();
     return reply;
   }
   const fleet::State& state = m_node.State();
   if (state.Routes().m_version == 0) {
-    return Plain(jobs::QueueOutcome::kNoRoutes);
+    return ReplyWith(jobs::QueueOutcome::kNoRoutes);
   }
   const auto found = state.RouteLookup().Find(aCall.m_host, aCall.m_path);
   if (!found) {
-    return Plain(jobs::QueueOutcome::kNoQueue);
+    return ReplyWith(jobs::QueueOutcome::kNoQueue);
   }
   const fleet::QueueRoute& route = state.Routes().m_routes[*found];
   const JobId id{ aCall.m_path.substr(route.m_pathPrefix.size()) };
@@ -496,18 +500,18 @@
     return Submit(route, id, std::move(aCall.m_spec));
   }
   if (id.Get().empty() && aCall.m_kind == jobs::CallKind::kLook) {
-    jobs::QueueReply reply = Plain(jobs::QueueOutcome::kOk);
+    jobs::QueueReply reply = ReplyWith(jobs::QueueOutcome::kOk);
     reply.m_pending = state.Jobs().Pending(route.Queue());
     return reply;
   }
   const jobs::Job* job = state.Jobs().Find(id);
   if (job == nullptr || job->m_queue != route.Queue()) {
-    return Plain(jobs::QueueOutcome::kNoJob);
+    return ReplyWith(jobs::QueueOutcome::kNoJob);
   }
   if (aCall.m_kind == jobs::CallKind::kCancel) {
     return Cancel(id);
   }
-  jobs::QueueReply reply = Plain(jobs::QueueOutcome::kOk);
+  jobs::QueueReply reply = ReplyWith(jobs::QueueOutcome::kOk);
   reply.m_state = jobs::ViewOf(*job);
   reply.m_detail = job->m_reason;
   return reply;
@@ -519,43 +523,44 @@
                    jobs::JobSpec aSpec)
 {
   if (aJob.Get().empty() || aJob.Get().find('/') != std::string::npos) {
-    jobs::QueueReply reply = Plain(jobs::QueueOutcome::kBadJob);
+    jobs::QueueReply reply = ReplyWith(jobs::QueueOutcome::kBadJob);
     reply.m_detail = "id: the path must be the queue's prefix and an id";
     return reply;
   }
   if (m_node.State().Jobs().Find(aJob) != nullptr) {
-    return Plain(jobs::QueueOutcome::kOk);
+    return ReplyWith(jobs::QueueOutcome::kOk);
   }
   if (m_node.IsStalled()) {
-    jobs::QueueReply refused = Plain(jobs::QueueOutcome::kRefused);
+    jobs::QueueReply refused = ReplyWith(jobs::QueueOutcome::kRefused);
     refused.m_retryAfter = kRetryAfter;
     return refused;
   }
   jobs::Batch batch;
   batch.m_changes.emplace_back(
     jobs::Submit{ aJob, aRoute.Queue(), std::move(aSpec), WallNow() });
-  return m_node.Propose(batch).then(
-    [this, aJob, queue = aRoute.Queue()](const Decided& aDecided) {
-      const jobs::BatchReply* reply = ReplyOf(aDecided);
-      if (reply == nullptr) {
-        // Not proposed at all: nothing of it can ever run.
-        const bool never = aDecided.m_error == consensus::Error::kNotReady;
-        jobs::QueueReply answer = Plain(never ? jobs::QueueOutcome::kRefused
-                                              : jobs::QueueOutcome::kUndecided);
-        answer.m_retryAfter = kRetryAfter;
-        return answer;
-      }
-      m_metrics.Count("jobs_accepted_total");
-      LogLine(Level::kInfo, "job accepted")
-        .With("job", aJob.Get())
-        .With("queue", queue.Get())
-        .With("repeated", reply->m_outcome == jobs::CallOutcome::kRepeated)
-        .With("index", aDecided.m_index.Get())
-        .Write();
-      m_isDirty = true;
-      Kick();
-      return Plain(jobs::QueueOutcome::kOk);
-    });
+  return m_node.Propose(batch).then([this, aJob, queue = aRoute.Queue()](
+                                      const ProposalResult& aResult) {
+    const jobs::BatchReply* reply = ReplyOf(aResult);
+    if (reply == nullptr) {
+      // The job was never proposed, so no part of it can ever run.
+      const bool isNotProposed = aResult.m_error == consensus::Error::kNotReady;
+      jobs::QueueReply answer =
+        ReplyWith(isNotProposed ? jobs::QueueOutcome::kRefused
+                                : jobs::QueueOutcome::kUndecided);
+      answer.m_retryAfter = kRetryAfter;
+      return answer;
+    }
+    m_metrics.Count("jobs_accepted_total");
+    LogLine(Level::kInfo, "job accepted")
+      .With("job", aJob.Get())
+      .With("queue", queue.Get())
+      .With("repeated", reply->m_outcome == jobs::CallOutcome::kRepeated)
+      .With("index", aResult.m_index.Get())
+      .Write();
+    m_needsPlan = true;
+    ScheduleCycle();
+    return ReplyWith(jobs::QueueOutcome::kOk);
+  });
 }
 
 kj::Promise<jobs::QueueReply>
@@ -563,25 +568,24 @@
 {
   jobs::Batch batch;
   batch.m_changes.emplace_back(jobs::Cancel{ aJob, WallNow() });
-  return m_node.Propose(batch).then([this, aJob](const Decided& aDecided) {
-    if (ReplyOf(aDecided) == nullptr) {
-      return Plain(jobs::QueueOutcome::kUndecided);
-    }
-    LogLine(Level::kInfo, "job cancelled")
-      .With("job", aJob.Get())
-      .With("index", aDecided.m_index.Get())
-      .Write();
-    m_isDirty = true;
-    return Plain(jobs::QueueOutcome::kOk);
-  });
+  return m_node.Propose(batch).then(
+    [this, aJob](const ProposalResult& aResult) {
+      if (ReplyOf(aResult) == nullptr) {
+        return ReplyWith(jobs::QueueOutcome::kUndecided);
+      }
+      LogLine(Level::kInfo, "job cancelled")
+        .With("job", aJob.Get())
+        .With("index", aResult.m_index.Get())
+        .Write();
+      m_needsPlan = true;
+      return ReplyWith(jobs::QueueOutcome::kOk);
+    });
 }
 
-// ------------------------------------------------------------------ operators
-
 kj::Promise<RoutesOutcome>
 JobService::ReplaceRoutes(fleet::RouteTable aTable)
 {
-  if (!Leads()) {
+  if (!EnsureLeading()) {
     return RoutesOutcome::kNotLeader;
   }
   if (aTable.m_version <= m_node.State().Routes().m_version) {
@@ -596,14 +600,14 @@
   }
   const std::uint64_t version = aTable.m_version;
   return m_node.Propose(fleet::ReplaceRoutes{ std::move(aTable) })
-    .then([this, version](const Decided& aDecided) {
-      const bool decided = aDecided.m_effect.has_value();
+    .then([this, version](const ProposalResult& aResult) {
+      const bool decided = aResult.m_effect.has_value();
       LogLine(Level::kInfo, "routes replaced")
         .With("version", version)
         .With("decided", decided)
         .With("inForce", m_node.State().Routes().m_version)
         .Write();
-      m_isDirty = true;
+      m_needsPlan = true;
       return decided ? RoutesOutcome::kInForce : RoutesOutcome::kUndecided;
     });
 }
@@ -611,7 +615,7 @@
 RoutesRead
 JobService::ReadRoutes()
 {
-  if (!Leads()) {
+  if (!EnsureLeading()) {
     return {};
   }
   const fleet::RouteTable& routes = m_node.State().Routes();
@@ -624,30 +628,30 @@
 kj::Promise<RoutesOutcome>
 JobService::StartMaintenance(fleet::MaintenanceWave aWave)
 {
-  if (!Leads()) {
+  if (!EnsureLeading()) {
     return RoutesOutcome::kNotLeader;
   }
   if (m_node.IsStalled()) {
     return RoutesOutcome::kStalled;
   }
   aWave.m_startedAt = WallNow();
-  LogLine(Level::kInfo, "maintenance wave asked for")
+  LogLine(Level::kInfo, "maintenance wave requested")
     .With("wave", aWave.m_number)
     .With("instances", aWave.m_instances.size())
     .With("cap", aWave.m_cap)
     .With("withinMs", aWave.m_within.count())
     .Write();
   return m_node.Propose(fleet::StartMaintenance{ std::move(aWave) })
-    .then([](const Decided& aDecided) {
-      return aDecided.m_effect ? RoutesOutcome::kInForce
-                               : RoutesOutcome::kUndecided;
+    .then([](const ProposalResult& aResult) {
+      return aResult.m_effect ? RoutesOutcome::kInForce
+                              : RoutesOutcome::kUndecided;
     });
 }
 
 WaveView
 JobService::LookAtMaintenance(std::uint64_t aWave)
 {
-  if (!Leads()) {
+  if (!EnsureLeading()) {
     return WaveView::kNotLeader;
   }
   const auto& waves = m_node.State().Maintenance();
--- a/src/control/loop_bridge.cpp
+++ b/src/control/loop_bridge.cpp
@@ -7,8 +7,8 @@
 using telemetry::Level;
 using telemetry::LogLine;
 
-LoopBridge::LoopBridge(Pace* aPace)
-  : m_pace(aPace)
+LoopBridge::LoopBridge(StageLatencies* aLatencies)
+  : m_latencies(aLatencies)
   , m_tasks(*this)
 {
   m_tasks.add(Loop());
@@ -32,16 +32,17 @@
 LoopBridge::Loop()
 {
   return m_pending.Take().then([this](const std::vector<Pending>& aPending) {
-    for (const Pending& one : aPending) {
-      m_tasks.add(one.m_task().then(
-        [this, server = one.m_server, exchange = one.m_exchange](
+    for (const Pending& pending : aPending) {
+      m_tasks.add(pending.m_task().then(
+        [this, server = pending.m_server, exchange = pending.m_exchange](
           http::Response&& aResponse) {
-          server->Post([pace = m_pace,
+          server->Post([latencies = m_latencies,
                         exchange,
                         response = std::move(aResponse),
                         answeredAt = MonotonicNow()]() {
-            if (pace != nullptr) {
-              pace->Observe(Stage::kAnswerWritten, MonotonicNow() - answeredAt);
+            if (latencies != nullptr) {
+              latencies->Observe(Stage::kAnswerWritten,
+                                 MonotonicNow() - answeredAt);
             }
             exchange->Respond(response);
           });
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -13,20 +13,22 @@
 using telemetry::Level;
 using telemetry::LogLine;
 
-constexpr Duration kTick = Millis{ 20 };
+constexpr Duration kTickInterval = Millis{ 20 };
 constexpr Duration kDutyInterval = Millis{ 200 };
-/** A frozen peer would otherwise collect messages without end. */
+/** Maximum number of unanswered messages per peer; without it, messages to a
+ * frozen peer would accumulate without limit. */
 constexpr std::size_t kMaxOutstanding = 256;
-/** Below the shortest election timeout: a connection that went silent is
- * made anew before its peer gives the leader up. */
-constexpr Duration kPeerSilence = Millis{ 350 };
-/** Between two requests for admission. */
+/** Shorter than the shortest election timeout, so that an unresponsive
+ * connection is replaced before the peer starts an election. */
+constexpr Duration kPeerTimeout = Millis{ 350 };
+/** Interval between two requests for admission. */
 constexpr Duration kJoinInterval = Millis{ 300 };
 /** Longer than an election usually takes. */
-constexpr Duration kLeaderless = Millis{ 3000 };
-constexpr Duration kMarkInterval = Millis{ 5000 };
-/** Far above a commit on slow disks, and well below what callers wait. */
-constexpr Duration kStalledAfter = Millis{ 800 };
+constexpr Duration kMaxLeaderlessTime = Millis{ 3000 };
+constexpr Duration kIndexTimeInterval = Millis{ 5000 };
+/** Far above a commit on slow disks, and well below the time that callers wait.
+ */
+constexpr Duration kStallThreshold = Millis{ 800 };
 
 kj::Duration
 ToKj(Duration aDuration)
@@ -79,24 +81,24 @@
     .Write();
 }
 
-// -------------------------------------------------------------------- loops
-
 kj::Promise<void>
 Node::TickLoop()
 {
   const TimePoint now = MonotonicNow();
   m_replica.Tick(now);
   Pump();
-  FollowRole();
+  UpdateRole();
   CheckInForce();
   if (now >= m_nextDuties) {
     m_nextDuties = now + kDutyInterval;
-    NoteFormation(now);
+    RecordFormation(now);
     if (IsServing()) {
-      Lead(now);
+      RunLeaderDuties(now);
     }
   }
-  return m_timer.afterDelay(ToKj(kTick)).then([this]() { return TickLoop(); });
+  return m_timer.afterDelay(ToKj(kTickInterval)).then([this]() {
+    return TickLoop();
+  });
 }
 
 kj::Promise<void>
@@ -108,7 +110,7 @@
         m_onDiskFailure(*report.m_failure);
         return kj::Promise<void>(kj::READY_NOW);
       }
-      NoteDisk(report.m_failure);
+      UpdateDiskState(report.m_failure);
       if (report.m_failure) {
         continue;
       }
@@ -120,27 +122,27 @@
 }
 
 void
-Node::NoteDisk(const std::optional<storage::Failure>& aRefusal)
+Node::UpdateDiskState(const std::optional<storage::Failure>& aFailure)
 {
-  if (aRefusal.has_value() == m_isDiskRefusing) {
+  if (aFailure.has_value() == m_isDiskFailing) {
     return;
   }
-  m_isDiskRefusing = aRefusal.has_value();
-  if (aRefusal) {
-    LogLine(Level::kError, "the disk refuses writes, trying again")
-      .With("reason", storage::ToText(*aRefusal))
+  m_isDiskFailing = aFailure.has_value();
+  if (aFailure) {
+    LogLine(Level::kError, "disk write failed, retrying")
+      .With("reason", storage::ToText(*aFailure))
       .Write();
   } else {
-    LogLine(Level::kInfo, "the disk takes writes again").Write();
+    LogLine(Level::kInfo, "disk write succeeded after retries").Write();
   }
 }
 
 kj::Promise<void>
 Node::SnapshotLoop()
 {
-  return m_encoded.Take().then([this](std::vector<EncodedState> aDone) {
-    for (EncodedState& encoded : aDone) {
-      m_encoding = false;
+  return m_encoded.Take().then([this](std::vector<EncodedState> aEncoded) {
+    for (EncodedState& encoded : aEncoded) {
+      m_isEncoding = false;
       m_snapshotBytes = encoded.m_bytes.size();
       m_replica.Compact(encoded.m_index, std::move(encoded.m_bytes));
     }
@@ -152,18 +154,18 @@
 void
 Node::Pump()
 {
-  if (m_pumping) {
+  if (m_isPumping) {
     return;
   }
-  m_pumping = true;
+  m_isPumping = true;
   for (auto actions = m_replica.TakeActions(); !actions.empty();
        actions = m_replica.TakeActions()) {
     for (consensus::Action& action : actions) {
-      std::visit([this](auto& aOne) { Run(std::move(aOne)); }, action);
+      std::visit([this](auto& aAction) { Run(std::move(aAction)); }, action);
     }
     MaybeCompact();
   }
-  m_pumping = false;
+  m_isPumping = false;
 }
 
 void
@@ -207,9 +209,10 @@
     return;
   }
   const TimePoint now = MonotonicNow();
-  // A silent cut keeps the connection open; TCP would wait minutes before it
-  // tries again. A new connection finds out at once when the cut is over.
-  if (peer->m_outstanding > 0 && now > peer->m_lastAnswer + kPeerSilence) {
+  // A network partition leaves the connection open, and TCP would wait for
+  // minutes before it retries. A new connection works as soon as the partition
+  // ends.
+  if (peer->m_outstanding > 0 && now > peer->m_lastAnswer + kPeerTimeout) {
     peer->m_channel->Drop();
     peer->m_lastAnswer = now;
   }
@@ -239,25 +242,26 @@
 {
   const Index viewBefore = m_state.ViewRevision();
   for (const consensus::LogEntry& entry : aApply.m_entries) {
-    Decided decided;
-    decided.m_index = entry.m_index;
+    ProposalResult result;
+    result.m_index = entry.m_index;
     if (const auto* bytes =
           std::get_if<consensus::CommandBytes>(&entry.m_payload)) {
       m_bytesSinceSnapshot += bytes->m_bytes.size();
       if (const auto command = fleet::DecodeCommand(bytes->m_bytes)) {
-        decided.m_effect = m_state.Apply(entry.m_index, *command);
+        result.m_effect = m_state.Apply(entry.m_index, *command);
       }
     }
     const auto waiter = m_waiters.find(entry.m_index);
     if (waiter == m_waiters.end()) {
       continue;
     }
-    // Another leader's entry took this position: ours was never decided.
+    // Another leader's entry is at this position: our command was not
+    // committed.
     if (waiter->second.m_term != entry.m_term) {
-      decided.m_effect.reset();
-      decided.m_error = consensus::Error::kNotLeader;
+      result.m_effect.reset();
+      result.m_error = consensus::Error::kNotLeader;
     }
-    waiter->second.m_fulfiller->fulfill(kj::mv(decided));
+    waiter->second.m_fulfiller->fulfill(kj::mv(result));
     m_waiters.erase(waiter);
   }
   if (m_state.ViewRevision() != viewBefore) {
@@ -273,7 +277,7 @@
     m_onDiskFailure(storage::Failure{ storage::Error::kDamaged,
                                       "snapshot",
                                       aRestore.m_snapshot.m_index.Get(),
-                                      "the state does not decode" });
+                                      "cannot decode the state" });
     return;
   }
   m_state = std::move(*state);
@@ -285,18 +289,18 @@
 {
   const std::uint64_t applied = m_state.Applied().Get();
   const std::uint64_t snapshot = m_replica.SnapshotIndex().Get();
-  const bool enough = applied >= snapshot + m_options.m_snapshotEvery;
-  // A large state is written again only after as many bytes of commands, so
+  const bool isDue = applied >= snapshot + m_options.m_snapshotEvery;
+  // A large state is encoded again only after as many bytes of commands, so
   // that snapshots never cost more than the log itself.
-  if (enough && !m_encoding && m_bytesSinceSnapshot >= m_snapshotBytes) {
-    m_encoding = true;
+  if (isDue && !m_isEncoding && m_bytesSinceSnapshot >= m_snapshotBytes) {
+    m_isEncoding = true;
     m_bytesSinceSnapshot = 0;
     m_snapshots.Encode(m_state);
   }
 }
 
 void
-Node::FollowRole()
+Node::UpdateRole()
 {
   const bool leads = m_replica.CurrentRole() == consensus::Role::kLeader;
   if (leads == m_wasLeader) {
@@ -309,81 +313,81 @@
     .Write();
   if (leads) {
     m_registry.Reset(MonotonicNow());
-    m_marks.clear();
+    m_indexTimes.clear();
     m_policy.Reset();
   } else {
     FailWaiters();
   }
 }
 
-// Whether these commands are committed is for a later leader to find out;
-// their senders ask it with the same ids.
+// A later leader finds out whether these commands are committed; their senders
+// ask it with the same ids.
 void
 Node::FailWaiters()
 {
   for (auto& [index, waiter] : m_waiters) {
-    Decided decided;
-    decided.m_index = index;
-    decided.m_error = consensus::Error::kNotLeader;
-    waiter.m_fulfiller->fulfill(kj::mv(decided));
+    ProposalResult result;
+    result.m_index = index;
+    result.m_error = consensus::Error::kNotLeader;
+    waiter.m_fulfiller->fulfill(kj::mv(result));
   }
   m_waiters.clear();
   WakeViewWaiters();
 }
 
-// ----------------------------------------------------------- leader's duties
-
 void
-Node::ProposeAlone(const fleet::Command& aCommand)
+Node::ProposeDuty(const fleet::Command& aCommand)
 {
-  ++m_proposedAlone;
-  m_tasks.add(
-    Propose(aCommand).then([this](const Decided&) { --m_proposedAlone; }));
+  ++m_pendingDuties;
+  m_tasks.add(Propose(aCommand).then(
+    [this](const ProposalResult&) { --m_pendingDuties; }));
 }
 
 void
-Node::Lead(TimePoint aNow)
+Node::RunLeaderDuties(TimePoint aNow)
 {
-  // One round at a time: what is proposed but not applied would be proposed
-  // again and again.
-  if (m_proposedAlone > 0) {
+  // Only one round is in progress at a time: commands that are proposed but not
+  // yet applied would be proposed again.
+  if (m_pendingDuties > 0) {
     return;
   }
   const auto lost = m_registry.FindLost(m_state.Instances(), aNow);
   if (!lost.empty()) {
-    ProposeAlone(fleet::LoseInstances{ lost });
+    ProposeDuty(fleet::LoseInstances{ lost });
   }
   ExpireOutcomes(aNow);
   AdvanceWaves(aNow);
-  DropSilentVoter(aNow);
+  RemoveUnresponsiveVoter(aNow);
 }
 
 void
 Node::ExpireOutcomes(TimePoint aNow)
 {
-  if (m_marks.empty() || aNow >= m_marks.back().m_at + kMarkInterval) {
-    m_marks.push_back({ m_state.Applied(), aNow });
+  if (m_indexTimes.empty() ||
+      aNow >= m_indexTimes.back().m_at + kIndexTimeInterval) {
+    m_indexTimes.push_back({ m_state.Applied(), aNow });
   }
   const Duration keep =
     std::chrono::seconds{ m_state.CurrentConfig().m_outcomeKeepSeconds };
   std::optional<Index> upTo;
-  while (!m_marks.empty() && m_marks.front().m_at + keep < aNow) {
-    upTo = m_marks.front().m_index;
-    m_marks.pop_front();
+  while (!m_indexTimes.empty() && m_indexTimes.front().m_at + keep < aNow) {
+    upTo = m_indexTimes.front().m_index;
+    m_indexTimes.pop_front();
   }
   if (upTo && m_state.Outcomes().Size() > 0) {
-    ProposeAlone(outcome::Expire{ *upTo });
+    ProposeDuty(outcome::Expire{ *upTo });
   }
 }
 
 void
 Node::AdvanceWaves(TimePoint aNow)
 {
-  const waves::Observed observed{ [&](const fleet::Instance& aInstance) {
+  const waves::Observed observations{ [&](const fleet::Instance& aInstance) {
     return m_registry.IsEmpty(aInstance, aNow);
   } };
-  for (const fleet::Command& command : waves::NextSteps(m_state, observed)) {
-    ProposeAlone(command);
+  for (const fleet::Command& command :
+       waves::NextSteps(m_state, observations)) {
+    ProposeDuty(command);
   }
   if (m_options.m_restart) {
     for (const fleet::Instance* instance : waves::Released(m_state)) {
@@ -392,20 +396,18 @@
   }
 }
 
-// -------------------------------------------------------------------- calls
-
-kj::Promise<Decided>
+kj::Promise<ProposalResult>
 Node::Propose(const fleet::Command& aCommand)
 {
   Index index;
   const consensus::Error error =
     m_replica.Propose(fleet::EncodeCommand(aCommand), MonotonicNow(), index);
   if (error != consensus::Error::kNone) {
-    Decided refused;
+    ProposalResult refused;
     refused.m_error = error;
     return refused;
   }
-  auto pair = kj::newPromiseAndFulfiller<Decided>();
+  auto pair = kj::newPromiseAndFulfiller<ProposalResult>();
   m_waiters[index] =
     Waiter{ m_replica.CurrentTerm(), MonotonicNow(), kj::mv(pair.fulfiller) };
   Pump();
@@ -419,18 +421,18 @@
          m_replica.HoldsLease(MonotonicNow());
 }
 
-// With all disks full the leader still hears its peers and keeps its lease, but
-// commits nothing. A caller would wait in vain, and could not be told
+// With all disks full, the leader still hears from its peers and keeps its
+// lease, but commits nothing. A caller would wait in vain and could not be told
 // afterwards whether its job runs.
 bool
 Node::IsStalled() const
 {
   return !m_waiters.empty() &&
-         MonotonicNow() > m_waiters.begin()->second.m_since + kStalledAfter;
+         MonotonicNow() > m_waiters.begin()->second.m_since + kStallThreshold;
 }
 
-// That the group was formed is on record, as a voter that is being replaced
-// later leaves one less for a moment.
+// The state records that the group was formed, as the number of voters drops by
+// one for a moment when a voter is replaced later.
 bool
 Node::IsSafelyFormed() const
 {
@@ -438,17 +440,17 @@
 }
 
 void
-Node::NoteFormation(TimePoint aNow)
+Node::RecordFormation(TimePoint aNow)
 {
   const auto& membership = m_replica.CurrentMembership();
-  if (m_state.IsFormed() || m_proposedAlone > 0 || !m_replica.IsReady() ||
+  if (m_state.IsFormed() || m_pendingDuties > 0 || !m_replica.IsReady() ||
       !m_policy.IsFormed(membership, aNow)) {
     return;
   }
   LogLine(Level::kInfo, "the group is formed")
     .With("voters", membership.VoterCount())
     .Write();
-  ProposeAlone(fleet::MarkFormed{});
+  ProposeDuty(fleet::MarkFormed{});
 }
 
 std::string
@@ -466,9 +468,9 @@
 Node::WaitInForce(Index aRevision)
 {
   auto pair = kj::newPromiseAndFulfiller<bool>();
-  m_inForce.push_back(
+  m_inForceWaiters.push_back(
     InForceWaiter{ aRevision,
-                   MonotonicNow() + m_options.m_inForcePatience,
+                   MonotonicNow() + m_options.m_inForceTimeout,
                    kj::mv(pair.fulfiller) });
   CheckInForce();
   return kj::mv(pair.promise);
@@ -478,14 +480,14 @@
 Node::CheckInForce()
 {
   const TimePoint now = MonotonicNow();
-  for (auto it = m_inForce.begin(); it != m_inForce.end();) {
+  for (auto it = m_inForceWaiters.begin(); it != m_inForceWaiters.end();) {
     const bool holds = IsServing() && m_registry.InForce(it->m_revision, now);
-    if (!holds && now < it->m_until) {
+    if (!holds && now < it->m_deadline) {
       ++it;
       continue;
     }
     it->m_fulfiller->fulfill(kj::cp(holds));
-    it = m_inForce.erase(it);
+    it = m_inForceWaiters.erase(it);
   }
 }
 
@@ -495,8 +497,9 @@
   if (m_state.ViewRevision() > aRevision) {
     return kj::READY_NOW;
   }
-  // Those whose hold time ended are of no use any more.
-  std::erase_if(m_viewWaiters, [](auto& aOne) { return !aOne->isWaiting(); });
+  // Waiters whose hold time has ended are no longer needed.
+  std::erase_if(m_viewWaiters,
+                [](auto& aWaiter) { return !aWaiter->isWaiting(); });
   auto pair = kj::newPromiseAndFulfiller<void>();
   m_viewWaiters.push_back(kj::mv(pair.fulfiller));
   return pair.promise.exclusiveJoin(
@@ -520,13 +523,11 @@
   m_policy.OnHeard(aMessage.m_from, MonotonicNow());
   m_replica.Receive(aMessage, MonotonicNow());
   Pump();
-  FollowRole();
+  UpdateRole();
 }
 
-// ---------------------------------------------------------- forming a group
-
-// A process without a disk may be among the seeds. Whether it is does not
-// change while it lives at its address, so what it said once holds.
+// The seeds may include a process without a disk. This does not change while
+// the process runs at its address, so its answer stays valid.
 std::vector<std::string>
 Node::SeedsWithLog() const
 {
@@ -538,9 +539,10 @@
 }
 
 // The lowest seed that keeps a log starts the group and the others ask for
-// admission, so that there is one group however they start. It does so only at
-// the first start of the whole system: a replica whose disk was emptied later
-// must not found a second group beside the one that knows everything.
+// admission, so that only one group forms, whatever the order of starts. This
+// happens only at the first start of the whole system: a replica whose disk was
+// emptied later must not form a second group beside the one that holds the
+// state.
 void
 Node::FormGroup()
 {
@@ -554,18 +556,19 @@
   }
 }
 
-// One that was taken out while it was away does not know: its own log still
-// names it. No leader writes to it any more, and its calls for a vote are
-// refused by all that hear the leader, so it would stay away for good.
+// A replica that was removed while it was away does not know it, as its own log
+// still names it as a member. The leader no longer sends to it, and all
+// replicas that hear from the leader refuse its vote requests, so without this
+// it would never rejoin.
 bool
 Node::NeedsAdmission(TimePoint aNow)
 {
   if (m_replica.Leader()) {
-    m_hadLeaderAt = aNow;
+    m_lastLeaderAt = aNow;
   }
   const auto& membership = m_replica.CurrentMembership();
   return membership.Find(m_replica.Self()) == nullptr ||
-         aNow > m_hadLeaderAt + kLeaderless;
+         aNow > m_lastLeaderAt + kMaxLeaderlessTime;
 }
 
 kj::Promise<void>
@@ -574,14 +577,14 @@
   FormGroup();
   const auto& membership = m_replica.CurrentMembership();
   if (NeedsAdmission(MonotonicNow())) {
-    AskSeeds();
+    RequestAdmissionFromSeeds();
     for (const consensus::Member& member : membership.m_members) {
-      m_tasks.add(AskAdmission(member.m_address));
+      m_tasks.add(RequestAdmission(member.m_address));
     }
   } else if (!m_state.IsFormed()) {
-    // The leader waits for as many replicas as there are seeds; those without
-    // a log are found out only by asking.
-    AskSeeds();
+    // The leader waits for as many replicas as there are seeds; only a request
+    // shows which seeds keep no log.
+    RequestAdmissionFromSeeds();
   }
   return m_timer.afterDelay(ToKj(kJoinInterval)).then([this]() {
     return JoinLoop();
@@ -589,23 +592,23 @@
 }
 
 void
-Node::AskSeeds()
+Node::RequestAdmissionFromSeeds()
 {
   for (const std::string& seed : SeedsWithLog()) {
     if (seed != m_options.m_address) {
-      m_tasks.add(AskAdmission(seed));
+      m_tasks.add(RequestAdmission(seed));
     }
   }
 }
 
 kj::Promise<void>
-Node::AskAdmission(const std::string& aSeed)
+Node::RequestAdmission(const std::string& aSeed)
 {
   auto channel = kj::refcounted<rpc::Channel>(m_provider.getNetwork(), aSeed);
   auto request = channel->Get().joinRequest();
   wire::Write(m_replica.Self(), request.initId());
   request.setAddress(m_options.m_address);
-  auto asked =
+  auto admission =
     request.send().then([this, aSeed](auto&& aReply) -> kj::Promise<void> {
       if (aReply.getHasNoLog()) {
         m_seedsWithoutLog.insert(aSeed);
@@ -622,9 +625,9 @@
       again.setAddress(m_options.m_address);
       return again.send().ignoreResult().attach(kj::mv(next));
     });
-  // A seed that is down or cut off is asked again with the next round.
-  return asked.attach(kj::mv(channel))
-    .exclusiveJoin(m_timer.afterDelay(ToKj(kPeerSilence)))
+  // A seed that is down or unreachable is asked again in the next round.
+  return admission.attach(kj::mv(channel))
+    .exclusiveJoin(m_timer.afterDelay(ToKj(kPeerTimeout)))
     .catch_([](kj::Exception&&) {});
 }
 
@@ -642,9 +645,9 @@
   return error;
 }
 
-// One that comes back asks for admission like any other.
+// A removed voter that returns asks for admission like any other replica.
 void
-Node::DropSilentVoter(TimePoint aNow)
+Node::RemoveUnresponsiveVoter(TimePoint aNow)
 {
   if (m_options.m_seeds.empty()) {
     return;
@@ -657,15 +660,15 @@
       synced.push_back(member.m_id);
     }
   }
-  const auto silent =
+  const auto unresponsive =
     m_policy.FindReplaceable(membership, m_replica.Self(), synced, aNow);
-  if (silent) {
-    LogLine(Level::kWarning, "taking out a silent voter")
-      .With("replica", silent->m_id.m_instance.Get())
+  if (unresponsive) {
+    LogLine(Level::kWarning, "removing unresponsive voter")
+      .With("replica", unresponsive->m_id.m_instance.Get())
       .With("voters", membership.VoterCount())
       .With("syncedLearners", synced.size())
       .Write();
-    RemoveMember(silent->m_id.m_instance);
+    RemoveMember(unresponsive->m_id.m_instance);
   }
 }
 
@@ -680,7 +683,7 @@
 {
   const auto error = m_replica.Bootstrap(m_options.m_address, MonotonicNow());
   Pump();
-  FollowRole();
+  UpdateRole();
   return error;
 }
 
--- a/src/control/pace.cpp
+++ b/src/control/pace.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-/** Short beside a lease: a line shows the stage that ends one. */
-constexpr Duration kLineInterval = Millis{ 1000 };
+/** Short compared with a lease, so that a log line shows the stage whose delay
+ * made leases expire. */
+constexpr Duration kLogInterval = Millis{ 1000 };
 
 const char*
-FieldOf(Stage aStage)
+LogKeyOf(Stage aStage)
 {
   switch (aStage) {
     case Stage::kReportQueued:
@@ -22,9 +23,9 @@
       return "reportAnsweredMs";
     case Stage::kBatchCommitted:
       return "batchCommittedMs";
-    case Stage::kPassOfPlacing:
+    case Stage::kPlanPass:
       return "passMs";
-    case Stage::kInstancesFollowed:
+    case Stage::kInstanceTick:
       return "instancesFollowMs";
     case Stage::kTickLate:
       return "tickLateMs";
@@ -41,39 +42,38 @@
 } // namespace
 
 void
-Pace::Observe(Stage aStage, Duration aTook)
+StageLatencies::Observe(Stage aStage, Duration aTook)
 {
   const std::lock_guard lock(m_mutex);
-  Seen& seen = m_seen[static_cast<std::size_t>(aStage)];
-  ++seen.m_count;
-  seen.m_longest = std::max(seen.m_longest, aTook);
+  StageMax& stage = m_stages[static_cast<std::size_t>(aStage)];
+  ++stage.m_count;
+  stage.m_max = std::max(stage.m_max, aTook);
 }
 
 void
-Pace::Log(TimePoint aNow, std::size_t aOrdersUnderWay)
+StageLatencies::Log(TimePoint aNow, std::size_t aPendingOrders)
 {
-  if (aNow < m_nextLine) {
+  if (aNow < m_nextLogAt) {
     return;
   }
-  m_nextLine = aNow + kLineInterval;
-  std::array<Seen, kStages> all{};
+  m_nextLogAt = aNow + kLogInterval;
+  std::array<StageMax, kStageCount> all{};
   {
     const std::lock_guard lock(m_mutex);
-    all = std::exchange(m_seen, {});
+    all = std::exchange(m_stages, {});
   }
   telemetry::LogLine line(telemetry::Level::kInfo,
                           "longest waits at the leader");
-  for (std::size_t i = 0; i < kStages; ++i) {
-    line.With(FieldOf(static_cast<Stage>(i)),
-              ToMillis(all[i].m_longest).count());
+  for (std::size_t i = 0; i < kStageCount; ++i) {
+    line.With(LogKeyOf(static_cast<Stage>(i)), ToMillis(all[i].m_max).count());
   }
   const auto countOf = [&](Stage aStage) {
     return all[static_cast<std::size_t>(aStage)].m_count;
   };
   line.With("reports", countOf(Stage::kReportQueued))
     .With("batches", countOf(Stage::kBatchCommitted))
-    .With("passes", countOf(Stage::kPassOfPlacing))
-    .With("ordersUnderWay", aOrdersUnderWay)
+    .With("passes", countOf(Stage::kPlanPass))
+    .With("ordersUnderWay", aPendingOrders)
     .Write();
 }
 
--- a/src/control/relay.cpp
+++ b/src/control/relay.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-// Calls of replicas among each other are left out: nobody admits a process
-// that keeps no log, so none comes, and RPC refuses it as not implemented.
+// Calls between replicas are not implemented: no replica admits a process that
+// keeps no log, so none arrive, and RPC would refuse them as unimplemented.
 class RelayServer final : public schema::Control::Server
 {
 public:
@@ -59,8 +59,9 @@
     auto results = aContext.getResults();
     results.setOutcome(schema::SyncOutcome::NOT_LEADER);
     results.setLeaderAddress(m_leader());
-    // A group may be founded past a seed that never keeps a log. Past one that
-    // only waits for its disk it may not: that one would found a second group.
+    // A group may be formed without a seed that never keeps a log, but not
+    // without one that only waits for its disk: that seed would form a second
+    // group.
     results.setHasNoLog(m_kind == RelayKind::kWithoutDisk);
     return kj::READY_NOW;
   }
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -48,9 +48,9 @@
   for (const std::uint64_t key : aFrom.getRenewals()) {
     report.m_renewals.push_back(key);
   }
-  for (auto one : aFrom.getInFlight()) {
+  for (auto count : aFrom.getInFlight()) {
     report.m_inFlight.push_back(
-      { InstanceId{ ToString(one.getId()) }, one.getCount() });
+      { InstanceId{ ToString(count.getId()) }, count.getCount() });
   }
   return report;
 }
@@ -83,8 +83,8 @@
       .With("operator", call->m_operator)
       .Write();
     return m_node.Propose(*call).then(
-      [this, aContext](const Decided& aDecided) mutable {
-        return Conclude(aContext, aDecided);
+      [this, aContext](const ProposalResult& aResult) mutable {
+        return Conclude(aContext, aResult);
       });
   }
 
@@ -177,8 +177,8 @@
   }
 
 private:
-  // A table that another operator has overtaken is not in force: who sent it
-  // hears which one is.
+  // A table that another operator has superseded is not in force; the sender is
+  // told which version is.
   void ReportReplaced(RoutesOutcome aOutcome,
                       std::uint64_t aVersion,
                       schema::CallReply::Builder aReply)
@@ -240,12 +240,13 @@
     aReply.setMessage(consensus::Describe(aError));
   }
 
-  kj::Promise<void> Conclude(SubmitContext aContext, const Decided& aDecided)
+  kj::Promise<void> Conclude(SubmitContext aContext,
+                             const ProposalResult& aResult)
   {
     auto reply = aContext.getResults().initReply();
     const fleet::CallReply* answer =
-      aDecided.m_effect ? std::get_if<fleet::CallReply>(&*aDecided.m_effect)
-                        : nullptr;
+      aResult.m_effect ? std::get_if<fleet::CallReply>(&*aResult.m_effect)
+                       : nullptr;
     if (answer == nullptr) {
       reply.setOutcome(schema::CallOutcome::UNKNOWN);
       reply.setMessage("the leader changed; send the call again with the "
@@ -256,8 +257,8 @@
     if (answer->m_refusal != fleet::Refusal::kNone) {
       return kj::READY_NOW;
     }
-    // Entries report the view they have, which a call that is none of their
-    // business does not move.
+    // Entries report the revision of their view, which does not change with a
+    // call that does not affect them.
     const Index awaited =
       std::min(answer->m_revision, m_node.State().ViewRevision());
     return m_node.WaitInForce(awaited).then([aContext](bool aInForce) mutable {
@@ -321,14 +322,15 @@
       return kj::READY_NOW;
     }
     fleet::AnnounceInstances command;
-    for (auto one : aContext.getParams().getAnnouncements()) {
-      command.m_announcements.push_back(wire::Read(one));
-      const auto& said = command.m_announcements.back();
-      m_node.Registry().OnAlive(said.m_id, said.m_incarnation, MonotonicNow());
+    for (auto announcement : aContext.getParams().getAnnouncements()) {
+      command.m_announcements.push_back(wire::Read(announcement));
+      const auto& announced = command.m_announcements.back();
+      m_node.Registry().OnAlive(
+        announced.m_id, announced.m_incarnation, MonotonicNow());
     }
     return m_node.Propose(command).then(
-      [aContext](const Decided& aDecided) mutable {
-        aContext.getResults().setOutcome(aDecided.m_effect
+      [aContext](const ProposalResult& aResult) mutable {
+        aContext.getResults().setOutcome(aResult.m_effect
                                            ? schema::SyncOutcome::OK
                                            : schema::SyncOutcome::NOT_LEADER);
       });
@@ -341,11 +343,11 @@
       return kj::READY_NOW;
     }
     return m_node.Propose(wire::Read(aContext.getParams().getBegin()))
-      .then([this, aContext](const Decided& aDecided) mutable {
+      .then([this, aContext](const ProposalResult& aResult) mutable {
         auto reply = aContext.getResults().initReply();
         const auto* begun =
-          aDecided.m_effect
-            ? std::get_if<outcome::BeginReply>(&*aDecided.m_effect)
+          aResult.m_effect
+            ? std::get_if<outcome::BeginReply>(&*aResult.m_effect)
             : nullptr;
         if (begun == nullptr) {
           reply.setOutcome(schema::LedgerOutcome::UNDECIDED);
@@ -365,10 +367,10 @@
       return kj::READY_NOW;
     }
     return m_node.Propose(wire::Read(aContext.getParams().getResolve()))
-      .then([aContext](const Decided& aDecided) mutable {
+      .then([aContext](const ProposalResult& aResult) mutable {
         aContext.getResults().initReply().setOutcome(
-          aDecided.m_effect ? schema::LedgerOutcome::RECORDED
-                            : schema::LedgerOutcome::UNDECIDED);
+          aResult.m_effect ? schema::LedgerOutcome::RECORDED
+                           : schema::LedgerOutcome::UNDECIDED);
       });
   }
 
@@ -440,8 +442,8 @@
   void AnswerSync(SyncContext aContext, membership::SyncReport aReport)
   {
     auto reply = aContext.getResults().initReply();
-    // The lease of an entry rests on ours: a leader that was cut off while
-    // this call waited must not give one.
+    // The lease of an entry depends on the leader's own: a leader that was cut
+    // off while this call waited must not grant one.
     if (!m_node.IsServing()) {
       RefuseAsFollower(reply);
       return;
@@ -461,8 +463,8 @@
     }
     const auto live = registry.LiveEntries(now);
     const auto self =
-      std::find_if(live.begin(), live.end(), [&](const auto& aOne) {
-        return aOne.m_entry == aReport.m_entry;
+      std::find_if(live.begin(), live.end(), [&](const auto& aEntry) {
+        return aEntry.m_entry == aReport.m_entry;
       });
     reply.setLiveEntries(live.size());
     reply.setPosition(self - live.begin());
@@ -477,7 +479,7 @@
   JobService* m_jobs;
 };
 
-/** One accepted connection, with its own reader limits. */
+/** An accepted connection with its own reader limits. */
 struct Accepted
 {
   kj::Own<kj::AsyncIoStream> m_stream;
--- a/src/control/status.cpp
+++ b/src/control/status.cpp
@@ -79,16 +79,16 @@
 Json
 ToJson(const fleet::Instance& aInstance)
 {
-  const fleet::Announcement& said = aInstance.m_announced;
-  const bool leaving = said.m_state == fleet::InstanceState::kLeaving;
-  return { { "id", said.m_id },
-           { "incarnation", said.m_incarnation },
-           { "service", said.m_service },
+  const fleet::Announcement& announced = aInstance.m_announced;
+  const bool leaving = announced.m_state == fleet::InstanceState::kLeaving;
+  return { { "id", announced.m_id },
+           { "incarnation", announced.m_incarnation },
+           { "service", announced.m_service },
            { "pool", aInstance.m_pool },
-           { "zone", said.m_zone },
-           { "rack", said.m_rack },
-           { "address", said.m_address },
-           { "slots", said.m_slots },
+           { "zone", announced.m_zone },
+           { "rack", announced.m_rack },
+           { "address", announced.m_address },
+           { "slots", announced.m_slots },
            { "state", leaving ? "leaving" : "up" },
            { "cordoned", aInstance.m_cordoned },
            { "lost", aInstance.m_lost },
--- a/src/control/worker_api.cpp
+++ b/src/control/worker_api.cpp
@@ -24,7 +24,8 @@
   return response;
 }
 
-/** The id in /v1/workers/{id}SUFFIX; empty where the path is another. */
+/** Returns the id in /v1/workers/{id}SUFFIX; empty if the path does not match.
+ */
 std::string
 WorkerIn(const std::string& aPath, std::string_view aSuffix)
 {
@@ -43,8 +44,8 @@
     return JsonResponse(
       kOk, wire::WriteOrders(*aAnswer.m_orders, aAnswer.m_fencingToken));
   }
-  const bool follows = !aAnswer.m_leaderAddress.empty();
-  return JsonResponse(follows ? kUnavailable : kConflict,
+  const bool isFollower = !aAnswer.m_leaderAddress.empty();
+  return JsonResponse(isFollower ? kUnavailable : kConflict,
                       nlohmann::json{ { "error", aAnswer.m_refusal } }.dump());
 }
 
@@ -55,27 +56,31 @@
                   const std::shared_ptr<http::Exchange>& aExchange)
 {
   const http::Request& request = aExchange->Incoming();
-  const std::string reporting = WorkerIn(request.m_target, kReport);
-  const std::string leaving = WorkerIn(request.m_target, kLeave);
-  if (request.m_method != "POST" || (reporting.empty() && leaving.empty())) {
+  const std::string reportingWorker = WorkerIn(request.m_target, kReport);
+  const std::string leavingWorker = WorkerIn(request.m_target, kLeave);
+  if (request.m_method != "POST" ||
+      (reportingWorker.empty() && leavingWorker.empty())) {
     return false;
   }
-  json::BadField bad;
-  if (!leaving.empty()) {
-    const auto life = wire::ReadWorkerLeave(leaving, request.m_body, bad);
-    if (!life) {
-      aExchange->Respond(JsonResponse(kBadRequest, json::ToJson(bad)));
+  json::BadField invalid;
+  if (!leavingWorker.empty()) {
+    const auto incarnation =
+      wire::ReadWorkerLeave(leavingWorker, request.m_body, invalid);
+    if (!incarnation) {
+      aExchange->Respond(JsonResponse(kBadRequest, json::ToJson(invalid)));
       return true;
     }
-    m_bridge.Answer(aServer, aExchange, [this, life = *life]() {
-      return m_jobs.Leave(life).then(
-        [](const WorkerAnswer& aAnswer) { return ToResponse(aAnswer); });
+    m_bridge.Answer(aServer, aExchange, [this, incarnation = *incarnation]() {
+      return m_jobs.Leave(incarnation).then([](const WorkerAnswer& aAnswer) {
+        return ToResponse(aAnswer);
+      });
     });
     return true;
   }
-  auto report = wire::ReadWorkerReport(reporting, request.m_body, bad);
+  auto report =
+    wire::ReadWorkerReport(reportingWorker, request.m_body, invalid);
   if (!report) {
-    aExchange->Respond(JsonResponse(kBadRequest, json::ToJson(bad)));
+    aExchange->Respond(JsonResponse(kBadRequest, json::ToJson(invalid)));
     return true;
   }
   m_bridge.Answer(
--- a/src/control/worker_log.h
+++ b/src/control/worker_log.h
@@ -5,9 +5,11 @@
 
 namespace bamboostile::control {
 
-/** A line that names a life of a worker. */
+/** Returns a log line that names an incarnation of a worker. */
 inline telemetry::LogLine
-LineOf(telemetry::Level aLevel, const char* aEvent, const WorkerLife& aWorker)
+WorkerLogLine(telemetry::Level aLevel,
+              const char* aEvent,
+              const WorkerLife& aWorker)
 {
   telemetry::LogLine line(aLevel, aEvent);
   line.With("worker", aWorker.m_id.Get())
--- a/tests/unit/control/disk_thread_test.cpp
+++ b/tests/unit/control/disk_thread_test.cpp
@@ -57,10 +57,10 @@
   std::atomic<bool> m_isFull = false;
 };
 
-// A replica's disk fills up under its log. It hears so once, acknowledges
-// nothing meanwhile, and when there is room all that waited is synced in order;
-// the process never ends for it.
-TEST(DiskThread, DiskFullForAWhile_WritesWaitAndAreSyncedInOrder)
+// Guards against a replica that ends because its disk is full. The failure is
+// reported once, no write is acknowledged meanwhile, and all waiting writes are
+// synced in order once there is free space.
+TEST(DiskThread, DiskTemporarilyFull_WritesWaitAndAreSyncedInOrder)
 {
   auto io = kj::setupAsyncIo();
   rpc::Mailbox<DiskReport> reports;
--- a/tests/unit/control/job_service_test.cpp
+++ b/tests/unit/control/job_service_test.cpp
@@ -16,10 +16,10 @@
 
 namespace fs = std::filesystem;
 
-/** A leader alone in its group, with a disk that can hang. */
+/** A leader, the only replica of its group, with a disk that can hang. */
 TEST_GROUP(JobService)
 {
-  static constexpr kj::Duration kPatience = 20 * kj::SECONDS;
+  static constexpr kj::Duration kAnswerTimeout = 20 * kj::SECONDS;
 
   void setup() override
   {
@@ -28,7 +28,7 @@
     fs::remove_all(m_folder);
     storage::FileCalls calls = storage::FileCalls::Posix();
     calls.m_sync = [this](int aFd) {
-      while (m_hangs) {
+      while (m_isSyncHanging) {
         std::this_thread::sleep_for(Millis{ 1 });
       }
       return ::fsync(aFd);
@@ -46,11 +46,11 @@
                                     [](const storage::Failure&) {});
     m_node->Bootstrap();
     while (!m_node->IsServing()) {
-      Pass(5 * kj::MILLISECONDS);
+      RunEventLoopFor(5 * kj::MILLISECONDS);
     }
     control::JobServiceOptions jobs;
     jobs.m_calls.m_move = [this](const auto& aOrder, Term, auto aDone) {
-      m_moved.push_back(aOrder.m_instance);
+      m_movedInstances.push_back(aOrder.m_instance);
       aDone({ placement::InstanceAnswer::kTaken, Duration{} });
     };
     jobs.m_maintenance.m_quietAfterElection = Duration{};
@@ -80,14 +80,14 @@
 
   void teardown() override
   {
-    m_hangs = false;
-    m_first.reset();
+    m_isSyncHanging = false;
+    m_endAnswer.reset();
     m_service.reset();
     m_node.reset();
     fs::remove_all(m_folder);
   }
 
-  void Pass(kj::Duration aTime)
+  void RunEventLoopFor(kj::Duration aTime)
   {
     m_loop->m_io.provider->getTimer().afterDelay(aTime).wait(
       m_loop->m_io.waitScope);
@@ -110,19 +110,21 @@
     return m_service->Report(aReport, MonotonicNow());
   }
 
-  /** Nothing where no answer came while the test was patient. */
+  /** Returns std::nullopt if no answer arrived within the timeout. */
   std::optional<WorkerAnswer> Await(kj::Promise<WorkerAnswer> aAnswer)
   {
-    auto late = m_loop->m_io.provider->getTimer().afterDelay(kPatience).then(
-      []() { return std::optional<WorkerAnswer>{}; });
+    auto timeout =
+      m_loop->m_io.provider->getTimer().afterDelay(kAnswerTimeout).then([]() {
+        return std::optional<WorkerAnswer>{};
+      });
     return aAnswer
-      .then([](WorkerAnswer&& aOne) { return std::optional{ aOne }; })
-      .exclusiveJoin(kj::mv(late))
+      .then([](WorkerAnswer&& aReply) { return std::optional{ aReply }; })
+      .exclusiveJoin(kj::mv(timeout))
       .wait(m_loop->m_io.waitScope);
   }
 
-  /** Reports until the worker is told to start something. */
-  placement::StartOrder TakeStart(const std::string& aWorker)
+  /** Sends reports until the worker is told to start a task. */
+  placement::StartOrder AwaitStart(const std::string& aWorker)
   {
     while (true) {
       const auto answer = Await(Send(Report(aWorker, 0)));
@@ -132,16 +134,17 @@
     }
   }
 
-  /** The disk hangs under the batch that takes the end in this report. */
-  placement::WorkerReport HangUnderAnEnd()
+  /** Lets the disk hang during the batch that contains the end in this report.
+   */
+  placement::WorkerReport HangWhileCommittingEnd()
   {
     Submit("short", Spec({ Step(1, 4000) }));
-    const placement::StartOrder ending = TakeStart("w2");
-    m_hangs = true;
+    const placement::StartOrder ending = AwaitStart("w2");
+    m_isSyncHanging = true;
     placement::WorkerReport ended = Report("w2", 0);
     ended.m_ended.push_back(End(1, ending.m_task, jobs::RunEnd::kDone));
-    m_first.emplace(Send(ended));
-    Pass(100 * kj::MILLISECONDS);
+    m_endAnswer.emplace(Send(ended));
+    RunEventLoopFor(100 * kj::MILLISECONDS);
     return ended;
   }
 
@@ -159,47 +162,46 @@
 
   std::unique_ptr<EventLoop> m_loop = std::make_unique<EventLoop>();
   fs::path m_folder;
-  std::atomic<bool> m_hangs = false;
+  std::atomic<bool> m_isSyncHanging = false;
   std::unique_ptr<Node> m_node;
   std::unique_ptr<JobService> m_service;
   std::uint64_t m_sequence = 0;
-  /** Of all workers. */
+  /** Start time of all workers. */
   WallTime m_startedAt;
-  std::vector<InstanceId> m_moved;
+  std::vector<InstanceId> m_movedInstances;
   int m_maintenanceOrders = 0;
   control::InstanceCalls::Answered m_answerMaintenance;
-  /** Waits for the batch under the hanging disk. */
-  std::optional<kj::Promise<WorkerAnswer>> m_first;
+  /** Waits for the batch while the disk hangs. */
+  std::optional<kj::Promise<WorkerAnswer>> m_endAnswer;
 };
 
-// The operator sees all long-running tasks of a step end together. The leader's
-// disk hangs under a batch of ends; every report that comes meanwhile waits for
-// that batch, workers drop the answers after a second, and all leases run out
-// at about the same moment, though the leader goes on leading. Waits by stage
-// showed it: answers to reports wait as long as the batch under way does.
-TEST(JobService, DiskHangsUnderABatch_LeasesAreRenewedAllTheSame)
+// Guards against all long-running tasks of a step ending together. The leader's
+// disk hangs during a batch of ends. If all reports that arrive meanwhile
+// waited for that batch, workers would drop the answers after a second, and all
+// leases would expire at about the same moment although the leader still leads.
+TEST(JobService, DiskHangsDuringBatch_LeasesAreStillRenewed)
 {
   Submit("service", LongRunning());
-  const placement::StartOrder lasting = TakeStart("w1");
-  HangUnderAnEnd();
-  placement::WorkerReport atWork = Report("w1", 0);
-  atWork.m_active.push_back(Active(lasting.m_task));
-  const auto renewed = Await(Send(atWork));
+  const placement::StartOrder longRunning = AwaitStart("w1");
+  HangWhileCommittingEnd();
+  placement::WorkerReport renewal = Report("w1", 0);
+  renewal.m_active.push_back(Active(longRunning.m_task));
+  const auto renewed = Await(Send(renewal));
   CHECK(renewed.has_value());
   CHECK(renewed->m_orders->m_lease > Duration{});
   CHECK(renewed->m_orders->m_stops.empty());
 }
 
-// A caller sees its job stand still for good. A worker's end is in a batch that
-// hangs; were the end acknowledged before it is on disk, the worker would
-// forget it, and with the leader nobody would know it any more.
-TEST(JobService, DiskHangsUnderABatch_ItsEndsAreNotAcknowledged)
+// Guards against a job that never ends. If an end in a hanging batch were
+// acknowledged before it is on disk, the worker would forget it; if the leader
+// then failed, the end would be lost.
+TEST(JobService, DiskHangsDuringBatch_EndsAreNotAcknowledged)
 {
-  const placement::WorkerReport ended = HangUnderAnEnd();
+  const placement::WorkerReport ended = HangWhileCommittingEnd();
   const auto again = Await(Send(ended));
   CHECK(again.has_value());
   LONGS_EQUAL(0, again->m_orders->m_ackedUpTo);
-  m_hangs = false;
+  m_isSyncHanging = false;
   std::uint64_t acked = 0;
   while (acked == 0) {
     acked = Await(Send(ended))->m_orders->m_ackedUpTo;
@@ -207,32 +209,33 @@
   LONGS_EQUAL(1, acked);
 }
 
-// Two leaders take turns with an instance, and it goes down twice. The first
-// one's order left before it was committed, so the second could not know of it:
-// while the disk hangs, the platform must not be asked.
-TEST(JobService, DiskHangsUnderAnOrder_PlatformIsNotAsked)
+// Guards against two leaders in turn ordering the same instance, which would
+// then go down twice. If the first leader sent its order before it was
+// committed, the second could not know of it; so no order is sent to the
+// platform while the disk hangs.
+TEST(JobService, DiskHangsBeforeOrderIsCommitted_PlatformIsNotCalled)
 {
   AddStandby();
-  m_hangs = true;
+  m_isSyncHanging = true;
   auto first = Send(Report("w1", 0));
-  Pass(800 * kj::MILLISECONDS);
-  LONGS_EQUAL(0, m_moved.size());
-  m_hangs = false;
-  for (int i = 0; i < 200 && m_moved.empty(); ++i) {
+  RunEventLoopFor(800 * kj::MILLISECONDS);
+  LONGS_EQUAL(0, m_movedInstances.size());
+  m_isSyncHanging = false;
+  for (int i = 0; i < 200 && m_movedInstances.empty(); ++i) {
     Await(Send(Report("w1", 0)));
-    Pass(50 * kj::MILLISECONDS);
+    RunEventLoopFor(50 * kj::MILLISECONDS);
   }
-  CHECK_FALSE(m_moved.empty());
-  CHECK(m_node->State().RecentOrders().contains(m_moved.front()));
+  CHECK_FALSE(m_movedInstances.empty());
+  CHECK(m_node->State().RecentOrders().contains(m_movedInstances.front()));
 }
 
-// An instance goes through its maintenance twice. The platform has taken the
-// order; until that is committed the wave still shows it as open, and an open
-// order is repeated.
-TEST(JobService, DiskHangsUnderATakenOrder_OrderIsNotRepeated)
+// Guards against maintaining an instance twice. The platform has accepted the
+// order, but until that is committed the wave still shows it as open, and open
+// orders are repeated.
+TEST(JobService, DiskHangsAfterOrderIsAccepted_OrderIsNotRepeated)
 {
-  // Until the leases of earlier leaders are over, no order is repeated anyway.
-  Pass(5 * kj::SECONDS);
+  // No order is repeated until the leases of earlier leaders are over.
+  RunEventLoopFor(5 * kj::SECONDS);
   fleet::MaintenanceWave wave;
   wave.m_number = 1;
   wave.m_instances[InstanceId{ "instance-of-w1" }] =
@@ -240,44 +243,44 @@
   m_service->StartMaintenance(wave).wait(m_loop->m_io.waitScope);
   while (m_maintenanceOrders == 0) {
     Await(Send(Report("w1", 0)));
-    Pass(20 * kj::MILLISECONDS);
+    RunEventLoopFor(20 * kj::MILLISECONDS);
   }
-  m_hangs = true;
+  m_isSyncHanging = true;
   m_answerMaintenance({ placement::InstanceAnswer::kTaken, Duration{} });
-  Pass(500 * kj::MILLISECONDS);
+  RunEventLoopFor(500 * kj::MILLISECONDS);
   LONGS_EQUAL(1, m_maintenanceOrders);
 }
 
-// Guards against an end of the earlier life that is under way to the disks when
-// the next one reports: taken for lost with its worker, its task would run
-// again.
+// Guards against running a task again. The end of its run is being committed
+// when the worker's next incarnation reports; the end must not be treated as
+// lost with the worker.
 TEST(JobService, WorkerRestartsWhileItsEndIsCommitted_TaskDoesNotRunAgain)
 {
   m_startedAt = WallTime{ 1'790'000'000'000 };
-  HangUnderAnEnd();
+  HangWhileCommittingEnd();
   m_startedAt = WallTime{ 1'790'000'001'000 };
   Await(Send(Report("w2", 0)));
-  m_hangs = false;
+  m_isSyncHanging = false;
   for (int i = 0; i < 30; ++i) {
     const auto answer = Await(Send(Report("w2", 0)));
     CHECK(answer && answer->m_orders && answer->m_orders->m_starts.empty());
-    Pass(50 * kj::MILLISECONDS);
+    RunEventLoopFor(50 * kj::MILLISECONDS);
   }
   const auto& job = *m_node->State().Jobs().Find(JobId{ "short" });
   STRCMP_EQUAL("completed", jobs::Describe(job.m_state));
 }
 
-// Guards against a leave of an earlier life that ends the next one.
-TEST(JobService, LateLeaveOfEarlierLife_NextLifeGoesOn)
+// Guards against a leave of an earlier incarnation ending the next one.
+TEST(JobService, LateLeaveOfEarlierIncarnation_NextOneIsNotEnded)
 {
   const WorkerLife earlier = Life("w1", 1'790'000'000'000);
   Submit("service", LongRunning());
   m_startedAt = WallTime{ 1'790'000'001'000 };
-  const placement::StartOrder lasting = TakeStart("w1");
+  const placement::StartOrder longRunning = AwaitStart("w1");
   m_service->Leave(earlier).wait(m_loop->m_io.waitScope);
-  placement::WorkerReport atWork = Report("w1", 0);
-  atWork.m_active.push_back(Active(lasting.m_task));
-  const auto renewed = Await(Send(atWork));
+  placement::WorkerReport renewal = Report("w1", 0);
+  renewal.m_active.push_back(Active(longRunning.m_task));
+  const auto renewed = Await(Send(renewal));
   CHECK(renewed.has_value());
   CHECK(renewed->m_orders->m_lease > Duration{});
   CHECK(renewed->m_orders->m_stops.empty());
