--- a/include/bamboostile/entry/frontend.h
+++ b/include/bamboostile/entry/frontend.h
@@ -22,11 +22,11 @@
 };
 
 /**
- * @brief The traffic side of an entry: carries HTTP in and out of the request
- * engine.
+ * @brief The HTTP side of an entry: passes callers' requests to the request
+ * engine and executes the actions that the engine decides on.
  *
- * All of it but OnLease() and Drain() runs on the HTTP server's thread, which
- * owns the engine; other threads only post to it.
+ * Everything except OnLease() and Drain() runs on the HTTP server's thread,
+ * which owns the engine; other threads only post to it.
  */
 class Frontend
 {
@@ -38,18 +38,20 @@
   ~Frontend();
 
   bool Start(std::string& aReason);
-  /** From the control thread. */
+  /** Called on the control thread. */
   void OnLease(LeaseGranted aLease);
-  /** From any thread: finish what is here, say goodbye, then call aDone. */
+  /** Can be called on any thread. Finishes the open requests, signs off from
+   * the control group and then calls aDone. */
   void Drain(std::function<void()> aDone);
-  /** Requests that a stop now would cut off. */
-  std::size_t OpenRequests() const { return m_open; }
+  /** Number of requests that Stop() would abort now. */
+  std::size_t OpenRequests() const { return m_openRequests; }
   void Stop();
 
 private:
   using LocalId = request::LocalId;
 
-  /** What the engine's decisions about a request are carried out on. */
+  /** An open request: its HTTP exchange and what the engine's actions on it
+   * need. */
   struct Pending
   {
     std::shared_ptr<http::Exchange> m_exchange;
@@ -60,7 +62,7 @@
     std::string m_service;
     http::Response m_answer;
     std::unique_ptr<opentracing::Span> m_span;
-    std::unique_ptr<opentracing::Span> m_step;
+    std::unique_ptr<opentracing::Span> m_stepSpan;
   };
 
   void Handle(std::shared_ptr<http::Exchange> aExchange);
@@ -78,13 +80,13 @@
   std::string RenderMetrics();
 
   void Tick();
-  void Pump();
-  void Carry(request::AskBegin aAsk);
-  void Carry(request::AskRecord aAsk);
-  void Carry(const request::Dispatch& aDispatch);
-  void Carry(const request::Relay& aRelay);
-  void Carry(request::Resolve aResolve);
-  void Carry(request::Conclude aConclude);
+  void ExecuteActions();
+  void Execute(request::AskBegin aAction);
+  void Execute(request::AskRecord aAction);
+  void Execute(const request::Dispatch& aDispatch);
+  void Execute(const request::Relay& aRelay);
+  void Execute(request::Resolve aResolve);
+  void Execute(request::Conclude aConclude);
   void OnCallDone(LocalId aLocal,
                   std::uint32_t aNumber,
                   http::CallResult aResult);
@@ -100,14 +102,15 @@
   request::Engine m_engine;
   telemetry::Metrics m_metrics;
   std::unordered_map<LocalId, Pending> m_pending;
-  std::uint64_t m_lastLocal = 0;
+  std::uint64_t m_lastLocalId = 0;
   Index m_reported;
-  bool m_reportedLeftovers = false;
+  bool m_hasReportedInFlight = false;
   bool m_draining = false;
   std::function<void()> m_onDrained;
-  TimePoint m_drainFrom;
-  std::atomic<std::size_t> m_open = 0;
-  /** End of the lease in microseconds; read on the client's thread. */
+  TimePoint m_drainStartedAt;
+  std::atomic<std::size_t> m_openRequests = 0;
+  /** End of the lease on the monotonic clock, in microseconds; read on the
+   * HTTP client's thread. */
   std::shared_ptr<std::atomic<std::int64_t>> m_leaseUntil;
   std::unique_ptr<http::Client> m_client;
   std::unique_ptr<http::Server> m_server;
--- a/include/bamboostile/entry/leader_client.h
+++ b/include/bamboostile/entry/leader_client.h
@@ -10,26 +10,30 @@
 
 struct LeaderClientOptions
 {
-  /** For one attempt at one replica. Many times what a leader takes to answer;
-   * one that is cut off never does. */
-  Duration m_attempt = Millis{ 600 };
-  /** For making the connection of an attempt: enough for one lost packet. */
-  Duration m_connect = Millis{ 250 };
-  /** For all attempts; callers wait three seconds. */
-  Duration m_total = Millis{ 2000 };
-  /** With no answer of any replica for so long, this is neither a restart nor
-   * an election: calls that nobody can have taken are refused at once. Any
-   * sooner, callers whom the next leader would have served are turned away. */
-  Duration m_outageAfter = Millis{ 1500 };
-  /** Between two rounds over all replicas; short beside an election. */
-  Duration m_pause = Millis{ 100 };
+  /** Timeout of one attempt at one replica. Many times the usual answer time
+   * of a leader; a leader that is cut off never answers. */
+  Duration m_attemptTimeout = Millis{ 600 };
+  /** Timeout for establishing the connection of an attempt: long enough to
+   * retransmit one lost packet. */
+  Duration m_connectTimeout = Millis{ 250 };
+  /** Timeout for all attempts of a call together; callers wait three
+   * seconds. */
+  Duration m_totalTimeout = Millis{ 2000 };
+  /** Time since the last answer of any replica after which this is an outage,
+   * not a restart or an election: calls that no replica can have accepted are
+   * then refused at once. A shorter time would refuse calls that the next
+   * leader would have served. */
+  Duration m_outageThreshold = Millis{ 1500 };
+  /** Pause between two rounds over all replicas; short compared with an
+   * election. */
+  Duration m_roundPause = Millis{ 100 };
 };
 
 /**
- * @brief Brings calls of callers to whichever replica leads.
+ * @brief Sends callers' calls to the leader of the control replicas.
  *
- * All calls may be repeated: a job's id makes a second submission the same
- * job. Lives on one KJ event loop.
+ * All calls are idempotent: a second submission under the same job id is the
+ * same job. Used on a single KJ event loop.
  */
 class LeaderClient
 {
@@ -38,39 +42,41 @@
                std::vector<std::string> aSeeds,
                LeaderClientOptions aOptions = {});
 
-  /** kNotLeader: no replica took it, so it never runs. kUndecided: one may
-   * have. */
+  /** The outcome kNotLeader means that no replica accepted the call, so it
+   * never runs; kUndecided means that one may have accepted it. */
   kj::Promise<jobs::QueueReply> Call(
     jobs::QueueCall aCall,
-    std::optional<Duration> aWithin = std::nullopt);
-  /** The address that last answered as the leader, or was named as it. */
+    std::optional<Duration> aTimeout = std::nullopt);
+  /** Address of the replica that last answered as leader or was named leader.
+   */
   std::string LastLeader() const
   {
     return m_replicas.empty() ? std::string{} : m_replicas.front();
   }
-  /** Replicas to ask beside those that were learned. */
+  /** Adds replica addresses to those already known. */
   void SetSeeds(const std::vector<std::string>& aSeeds);
 
 private:
   struct Target
   {
     kj::Own<rpc::Channel> m_channel;
-    TimePoint m_lastAnswer;
+    TimePoint m_lastAnswerAt;
   };
 
-  struct Attempts
+  struct CallProgress
   {
     jobs::QueueCall m_call;
-    TimePoint m_until;
-    /** An attempt was not answered: it may have been taken. */
-    bool m_unclear = false;
-    std::size_t m_next = 0;
-    std::size_t m_redirects = 0;
+    TimePoint m_deadline;
+    /** An attempt was sent but not answered, so a replica may have accepted
+     * the call. */
+    bool m_mayBeAccepted = false;
+    std::size_t m_nextReplica = 0;
+    std::size_t m_redirectCount = 0;
   };
 
-  kj::Promise<jobs::QueueReply> Try(kj::Own<Attempts> aAttempts);
-  kj::Promise<jobs::QueueReply> TryAgain(kj::Own<Attempts> aAttempts,
-                                         bool aRoundIsOver);
+  kj::Promise<jobs::QueueReply> TryNextReplica(kj::Own<CallProgress> aProgress);
+  kj::Promise<jobs::QueueReply> Retry(kj::Own<CallProgress> aProgress,
+                                      bool aIsRoundComplete);
   kj::Promise<jobs::QueueReply> Send(const std::string& aAddress,
                                      const jobs::QueueCall& aCall);
   kj::Promise<jobs::QueueReply> FailUnlessConnected(
@@ -81,11 +87,11 @@
   kj::AsyncIoProvider& m_provider;
   kj::Timer& m_timer;
   LeaderClientOptions m_options;
-  /** The one that led last comes first. */
+  /** Replica addresses; the last known leader comes first. */
   std::vector<std::string> m_replicas;
   std::map<std::string, Target> m_targets;
-  /** When any replica last answered. */
-  TimePoint m_lastHeard;
+  /** Time of the last answer from any replica. */
+  TimePoint m_lastAnyAnswerAt;
 };
 
 } // namespace bamboostile::entry
--- a/include/bamboostile/entry/leader_watch.h
+++ b/include/bamboostile/entry/leader_watch.h
@@ -5,9 +5,10 @@
 namespace bamboostile::entry {
 
 /**
- * @brief Keeps asking which control replica leads.
+ * @brief Polls the control replicas for the current leader.
  *
- * For a process that takes no part in the group. Lives on one KJ event loop.
+ * Used by a process that is not a member of the control group, on a single KJ
+ * event loop.
  */
 class LeaderWatch final : private kj::TaskSet::ErrorHandler
 {
@@ -15,7 +16,7 @@
   LeaderWatch(kj::AsyncIoProvider& aProvider,
               const std::vector<std::string>& aSeeds);
 
-  /** RPC address; empty while no replica answers as the leader. */
+  /** RPC address of the leader; empty while no replica answers as leader. */
   const std::string& LeaderAddress() const { return m_leader; }
   void SetSeeds(const std::vector<std::string>& aSeeds)
   {
--- a/include/bamboostile/entry/link.h
+++ b/include/bamboostile/entry/link.h
@@ -19,11 +19,11 @@
   ZoneId m_zone;
   std::string m_httpAddress;
   std::vector<std::string> m_seeds;
-  Duration m_tryTimeout = Millis{ 700 };
+  Duration m_attemptTimeout = Millis{ 700 };
   Duration m_retryPause = Millis{ 30 };
 };
 
-// ------------------------------------------- from the traffic thread to here
+// ------------------- messages from the traffic thread to the control thread
 
 struct Announce
 {
@@ -39,7 +39,7 @@
 struct Begin
 {
   outcome::Begin m_begin;
-  Duration m_patience{};
+  Duration m_timeout{};
   std::function<void(request::BeginResult)> m_done;
 };
 
@@ -51,20 +51,22 @@
 struct Lookup
 {
   RequestId m_request;
-  Duration m_patience{};
-  /** Without a record where there is none; kUndecided if nobody answered. */
+  Duration m_timeout{};
+  /** Receives a result without a record if there is none, and kUndecided if
+   * no replica answered. */
   std::function<void(request::BeginResult)> m_done;
 };
 
-/** The traffic thread has this view in force, with this much left running at
- * instances that get nothing new. */
+/** Reports which view revision the traffic thread has applied, and how many
+ * requests are still in flight at instances that get no new ones. */
 struct Applied
 {
   Index m_revision;
   std::vector<membership::InFlight> m_inFlight;
 };
 
-/** No request is left; say goodbye and then call m_done. */
+/** Asks to sign off from the control group after the last request has ended;
+ * m_done is called afterwards. */
 struct Leave
 {
   std::function<void()> m_done;
@@ -73,7 +75,7 @@
 using LinkMessage =
   std::variant<Announce, Renew, Begin, Resolve, Lookup, Applied, Leave>;
 
-// ------------------------------------------- from here to the traffic thread
+// ------------------- messages from the control thread to the traffic thread
 
 struct LeaseGranted
 {
@@ -86,8 +88,9 @@
 /**
  * @brief An entry's connection to the control group, on the control thread.
  *
- * Finds the leader, keeps the lease and the view current, and carries calls
- * for the record of requests. All calls it repeats are idempotent.
+ * Finds the leader, renews the lease, keeps the view up to date, and sends the
+ * calls that read and write the request ledger. All calls that it repeats are
+ * idempotent.
  */
 class Link final : private kj::TaskSet::ErrorHandler
 {
@@ -115,16 +118,19 @@
 
   kj::Promise<void> FlushAnnouncements();
   kj::Promise<bool> TryAnnounce(std::vector<fleet::Announcement> aBatch);
-  /** Sends one call to the present replica; made anew for each try. */
-  using Try = std::function<kj::Promise<request::BeginResult>()>;
+  /** Sends one call to the current replica; invoked once for each attempt. */
+  using SendAttempt = std::function<kj::Promise<request::BeginResult>()>;
 
   template<typename Reply>
-  request::BeginResult Judge(const Reply& aReply, const std::string& aAddress);
-  kj::Promise<request::BeginResult> AskUntil(Try aTry, TimePoint aUntil);
-
-  rpc::Channel& Current();
-  /** The present replica does not lead or does not answer. */
-  void MoveOn(const std::string& aFrom, const std::string& aHint);
+  request::BeginResult ToResultFrom(const Reply& aReply,
+                                    const std::string& aAddress);
+  kj::Promise<request::BeginResult> RetryUntil(SendAttempt aSendAttempt,
+                                               TimePoint aUntil);
+
+  rpc::Channel& CurrentChannel();
+  /** Switches from the replica at aFrom, which does not lead or does not
+   * answer, to aHint or else to the next known address. */
+  void SelectNextReplica(const std::string& aFrom, const std::string& aHint);
   void OnCallFailed(const std::string& aFrom);
   void LearnAddresses(schema::SyncReply::Reader aReply);
   template<typename T>
@@ -137,16 +143,17 @@
   rpc::Mailbox<LinkMessage>& m_inbox;
   std::function<void(LeaseGranted)> m_onLease;
   std::vector<std::string> m_addresses;
-  std::string m_current;
+  std::string m_currentAddress;
   std::map<std::string, kj::Own<rpc::Channel>> m_channels;
   Applied m_applied;
-  /** Handed to the traffic thread, not yet reported as in force. */
-  Index m_handedOver;
+  /** Revision of the last view passed to the traffic thread, which may not
+   * have applied it yet. */
+  Index m_deliveredRevision;
   kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>> m_appliedWaiter;
   std::unordered_set<std::uint64_t> m_renewals;
   std::vector<Announce> m_announcements;
-  bool m_flushing = false;
-  std::optional<Leave> m_leave;
+  bool m_isFlushing = false;
+  std::optional<Leave> m_pendingLeave;
   kj::TaskSet m_tasks;
 };
 
--- a/include/bamboostile/entry/queue_gateway.h
+++ b/include/bamboostile/entry/queue_gateway.h
@@ -7,8 +7,8 @@
 
 namespace bamboostile::entry {
 
-/** Carries calls of callers from traffic threads to the event loop, and to
- * the leader from there. */
+/** Passes callers' calls from the traffic threads to the event loop, which
+ * sends them to the leader. */
 class QueueGateway final : private kj::TaskSet::ErrorHandler
 {
 public:
@@ -16,11 +16,11 @@
 
   QueueGateway(kj::AsyncIoProvider& aProvider, std::vector<std::string> aSeeds);
 
-  /** From any thread; aDone runs on the event loop. */
+  /** Can be called on any thread; aDone runs on the event loop. */
   void Call(jobs::QueueCall aCall,
             Done aDone,
-            std::optional<Duration> aWithin = std::nullopt);
-  /** On the event loop. */
+            std::optional<Duration> aTimeout = std::nullopt);
+  /** Used on the event loop only. */
   LeaderClient& Leader() { return m_leader; }
 
 private:
@@ -28,7 +28,7 @@
   {
     jobs::QueueCall m_call;
     Done m_done;
-    std::optional<Duration> m_within;
+    std::optional<Duration> m_timeout;
   };
 
   void taskFailed(kj::Exception&& aException) override;
--- a/src/entry/announcement_json.cpp
+++ b/src/entry/announcement_json.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint64_t kMaxCount = 1'000'000'000;
 constexpr std::size_t kMaxIdLength = 128;
 
-/** Takes fields out of a JSON object and keeps the first problem. */
+/** Reads fields of a JSON object and keeps the first problem found. */
 class Reader
 {
 public:
@@ -29,16 +29,16 @@
   {
     if (!m_json.contains(aField)) {
       if (aRequired) {
-        Complain(aField, "a text of 1 to 128 characters; it is missing");
+        ReportInvalid(aField, "a text of 1 to 128 characters; it is missing");
       }
       return {};
     }
     const Json& value = m_json[aField];
-    const bool sound =
+    const bool isValid =
       value.is_string() && !value.get_ref<const std::string&>().empty() &&
       value.get_ref<const std::string&>().size() <= kMaxIdLength;
-    if (!sound) {
-      Complain(aField, "a text of 1 to 128 characters");
+    if (!isValid) {
+      ReportInvalid(aField, "a text of 1 to 128 characters");
       return {};
     }
     return value.get<std::string>();
@@ -52,14 +52,14 @@
     if (!m_json.contains(aField) && aDefault) {
       return *aDefault;
     }
-    const bool sound = m_json.contains(aField) &&
-                       m_json[aField].is_number_unsigned() &&
-                       m_json[aField].get<std::uint64_t>() >= aMinimum &&
-                       m_json[aField].get<std::uint64_t>() <= aMaximum;
-    if (!sound) {
-      Complain(aField,
-               "a whole number from " + std::to_string(aMinimum) + " to " +
-                 std::to_string(aMaximum));
+    const bool isValid = m_json.contains(aField) &&
+                         m_json[aField].is_number_unsigned() &&
+                         m_json[aField].get<std::uint64_t>() >= aMinimum &&
+                         m_json[aField].get<std::uint64_t>() <= aMaximum;
+    if (!isValid) {
+      ReportInvalid(aField,
+                    "a whole number from " + std::to_string(aMinimum) + " to " +
+                      std::to_string(aMaximum));
       return aMinimum;
     }
     return m_json[aField].get<std::uint64_t>();
@@ -71,7 +71,7 @@
       Number(aField, aMinimum, kMaxCount, aMinimum));
   }
 
-  void Complain(std::string aField, std::string aAllowed)
+  void ReportInvalid(std::string aField, std::string aAllowed)
   {
     if (m_problem.m_field.empty()) {
       m_problem = { std::move(aField), std::move(aAllowed) };
@@ -96,58 +96,59 @@
     return std::nullopt;
   }
   Reader reader(json, aProblem);
-  fleet::Announcement said;
-  said.m_id = aId;
-  said.m_incarnation = Incarnation{ reader.Number(
+  fleet::Announcement announcement;
+  announcement.m_id = aId;
+  announcement.m_incarnation = Incarnation{ reader.Number(
     "incarnation", 1, std::numeric_limits<std::uint64_t>::max(), {}) };
-  said.m_sequence =
+  announcement.m_sequence =
     reader.Number("sequence", 0, std::numeric_limits<std::uint64_t>::max(), 0);
-  said.m_service = ServiceId{ reader.Text("service", true) };
+  announcement.m_service = ServiceId{ reader.Text("service", true) };
   const std::string pool = reader.Text("pool", false);
   if (!pool.empty()) {
-    said.m_pool = PoolId{ pool };
+    announcement.m_pool = PoolId{ pool };
   }
-  said.m_zone = ZoneId{ reader.Text("zone", true) };
-  said.m_rack = RackId{ reader.Text("rack", true) };
-  said.m_address = reader.Text("address", true);
-  if (!settings::ParseAddress(said.m_address)) {
-    reader.Complain("address", "an IP address and a port");
+  announcement.m_zone = ZoneId{ reader.Text("zone", true) };
+  announcement.m_rack = RackId{ reader.Text("rack", true) };
+  announcement.m_address = reader.Text("address", true);
+  if (!settings::ParseAddress(announcement.m_address)) {
+    reader.ReportInvalid("address", "an IP address and a port");
   }
-  said.m_slots = reader.Count("slots", 1);
-  said.m_connections = reader.Count("connections", 1);
-  said.m_cores = reader.Count("cores", 0);
-  said.m_memoryMb = reader.Count("memoryMb", 0);
-  said.m_accelerators = reader.Count("accelerators", 0);
+  announcement.m_slots = reader.Count("slots", 1);
+  announcement.m_connections = reader.Count("connections", 1);
+  announcement.m_cores = reader.Count("cores", 0);
+  announcement.m_memoryMb = reader.Count("memoryMb", 0);
+  announcement.m_accelerators = reader.Count("accelerators", 0);
   const std::string state =
     json.contains("state") ? reader.Text("state", true) : std::string{ "up" };
   if (state == "leaving") {
-    said.m_state = fleet::InstanceState::kLeaving;
+    announcement.m_state = fleet::InstanceState::kLeaving;
   } else if (state != "up") {
-    reader.Complain("state", "up or leaving");
+    reader.ReportInvalid("state", "up or leaving");
   }
   if (!aProblem.m_field.empty()) {
     return std::nullopt;
   }
-  return said;
+  return announcement;
 }
 
 bool
-SaysTheSame(const fleet::Announcement& aLeft, const fleet::Announcement& aRight)
+EqualsExceptSequence(const fleet::Announcement& aLeft,
+                     const fleet::Announcement& aRight)
 {
-  const auto fields = [](const fleet::Announcement& aOne) {
-    return std::tie(aOne.m_id,
-                    aOne.m_incarnation,
-                    aOne.m_service,
-                    aOne.m_pool,
-                    aOne.m_zone,
-                    aOne.m_rack,
-                    aOne.m_address,
-                    aOne.m_slots,
-                    aOne.m_connections,
-                    aOne.m_cores,
-                    aOne.m_memoryMb,
-                    aOne.m_accelerators,
-                    aOne.m_state);
+  const auto fields = [](const fleet::Announcement& aAnnouncement) {
+    return std::tie(aAnnouncement.m_id,
+                    aAnnouncement.m_incarnation,
+                    aAnnouncement.m_service,
+                    aAnnouncement.m_pool,
+                    aAnnouncement.m_zone,
+                    aAnnouncement.m_rack,
+                    aAnnouncement.m_address,
+                    aAnnouncement.m_slots,
+                    aAnnouncement.m_connections,
+                    aAnnouncement.m_cores,
+                    aAnnouncement.m_memoryMb,
+                    aAnnouncement.m_accelerators,
+                    aAnnouncement.m_state);
   };
   return fields(aLeft) == fields(aRight);
 }
--- a/src/entry/announcement_json.h
+++ b/src/entry/announcement_json.h
@@ -13,13 +13,15 @@
   std::string m_allowed;
 };
 
-/** Reads the body of PUT /v1/upstreams/{id}; on failure names the field. */
+/** Parses the body of PUT /v1/upstreams/{id}; on failure aProblem names the
+ * invalid field. */
 std::optional<fleet::Announcement> ParseAnnouncement(const InstanceId& aId,
                                                      const std::string& aBody,
                                                      FieldProblem& aProblem);
 
-/** Alike in all but the sequence: nothing that routing needs has changed. */
-bool SaysTheSame(const fleet::Announcement& aLeft,
-                 const fleet::Announcement& aRight);
+/** Compares all fields but the sequence. Announcements that are equal in these
+ * need no change in routing. */
+bool EqualsExceptSequence(const fleet::Announcement& aLeft,
+                          const fleet::Announcement& aRight);
 
 } // namespace bamboostile::entry::internal
--- a/src/entry/caller_headers.cpp
+++ b/src/entry/caller_headers.cpp
@@ -19,17 +19,17 @@
   std::uint64_t value = 0;
   const char* end = aText.data() + aText.size();
   const auto [at, error] = std::from_chars(aText.data(), end, value);
-  const bool sound =
+  const bool isValid =
     error == std::errc{} && at == end && value >= aMinimum && value <= aMaximum;
-  return sound ? std::optional{ value } : std::nullopt;
+  return isValid ? std::optional{ value } : std::nullopt;
 }
 
 bool
 IsKey(const std::string& aText)
 {
   return !aText.empty() && aText.size() <= kMaxKeyLength &&
-         std::all_of(aText.begin(), aText.end(), [](char aOne) {
-           return aOne > ' ' && aOne < '\x7f' && aOne != '/';
+         std::all_of(aText.begin(), aText.end(), [](char aChar) {
+           return aChar > ' ' && aChar < '\x7f' && aChar != '/';
          });
 }
 
@@ -61,18 +61,19 @@
 }
 
 http::Headers
-WithoutOwn(const http::Headers& aHeaders)
+ForwardableHeaders(const http::Headers& aHeaders)
 {
-  constexpr std::array<const char*, 11> kOwn{
+  constexpr std::array<const char*, 11> kOwnHeaders{
     kOutcomeHeader, kRequestIdHeader, kReasonHeader,  kRetryAfterMsHeader,
     kNotRunHeader,  kKeyHeader,       kTimeoutHeader, kAttemptHeader,
     kClassHeader,   kTraceHeader,     "Host"
   };
   http::Headers kept = http::WithoutHopByHop(aHeaders);
   std::erase_if(kept, [&](const http::Header& aHeader) {
-    return std::any_of(kOwn.begin(), kOwn.end(), [&](const char* aName) {
-      return http::EqualsIgnoringCase(aHeader.m_name, aName);
-    });
+    return std::any_of(
+      kOwnHeaders.begin(), kOwnHeaders.end(), [&](const char* aName) {
+        return http::EqualsIgnoringCase(aHeader.m_name, aName);
+      });
   });
   return kept;
 }
@@ -93,12 +94,12 @@
     arrival.m_request = RequestId{ *key };
   }
   if (const auto text = http::FindHeader(aRequest.m_headers, kTimeoutHeader)) {
-    const auto longest =
+    const auto maxMillis =
       static_cast<std::uint64_t>(aLimits.m_maxTimeout.count());
-    const auto millis = ParseNumber(*text, 1, longest);
+    const auto millis = ParseNumber(*text, 1, maxMillis);
     if (!millis) {
       aProblem = { kTimeoutHeader,
-                   "milliseconds from 1 to " + std::to_string(longest) };
+                   "milliseconds from 1 to " + std::to_string(maxMillis) };
       return std::nullopt;
     }
     arrival.m_timeout = Millis{ *millis };
@@ -113,12 +114,12 @@
     arrival.m_attempt = static_cast<std::uint32_t>(*attempt);
   }
   if (const auto text = http::FindHeader(aRequest.m_headers, kClassHeader)) {
-    const auto known = ParseClass(*text);
-    if (!known) {
+    const auto parsedClass = ParseClass(*text);
+    if (!parsedClass) {
       aProblem = { kClassHeader, "urgent, normal or batch" };
       return std::nullopt;
     }
-    arrival.m_class = *known;
+    arrival.m_class = *parsedClass;
   }
   return arrival;
 }
--- a/src/entry/caller_headers.h
+++ b/src/entry/caller_headers.h
@@ -26,18 +26,18 @@
   std::string m_allowed;
 };
 
-/** Reads what a caller says about its request in headers. Without a key the
- * request id stays empty for the entry to make one. */
+/** Reads the headers in which a caller describes its request. Without an
+ * idempotency key the request id stays empty, and the entry generates one. */
 std::optional<request::Arrival> ReadCallerHeaders(
   const http::Request& aRequest,
   const settings::Limits& aLimits,
   HeaderProblem& aProblem);
 
-/** RFC 9110, 9.2.2. */
+/** Tells whether RFC 9110, section 9.2.2, defines the method as idempotent. */
 bool IsIdempotentMethod(const std::string& aMethod);
 
-/** Headers to pass on, in either direction: not those of one hop, nor those
- * that this system speaks itself. */
-http::Headers WithoutOwn(const http::Headers& aHeaders);
+/** Returns the headers to forward, in either direction: all but hop-by-hop
+ * headers and those that the entry itself reads or writes. */
+http::Headers ForwardableHeaders(const http::Headers& aHeaders);
 
 } // namespace bamboostile::entry::internal
--- a/src/entry/digest.cpp
+++ b/src/entry/digest.cpp
@@ -19,7 +19,8 @@
   unsigned int length = 0;
   EVP_DigestInit_ex(context.get(), EVP_sha256(), nullptr);
   for (const std::string* part : { &aMethod, &aTarget, &aBody }) {
-    // The length first, so that no two splits of the same bytes are alike.
+    // Each part is preceded by its length, so that splitting the same bytes
+    // differently gives a different digest.
     const std::uint64_t size = part->size();
     EVP_DigestUpdate(context.get(), &size, sizeof(size));
     EVP_DigestUpdate(context.get(), part->data(), part->size());
--- a/src/entry/frontend.cpp
+++ b/src/entry/frontend.cpp
@@ -27,15 +27,15 @@
 using internal::ToAnswer;
 
 constexpr Millis kTickPeriod{ 5 };
-constexpr Duration kLookupPatience = Millis{ 2000 };
-/** After the stop is asked for, requests that were on their way still get
- * their answer here. */
+constexpr Duration kLookupTimeout = Millis{ 2000 };
+/** How long the entry keeps accepting requests after Drain() was called, so
+ * that requests already on their way are still answered. */
 constexpr Duration kDrainGrace = Millis{ 500 };
 constexpr const char* kOutcomesPath = "/v1/outcomes/";
 constexpr const char* kUpstreamsPath = "/v1/upstreams/";
 
 request::AttemptEnd
-ToEnd(http::CallEnd aEnd)
+ToAttemptEnd(http::CallEnd aEnd)
 {
   switch (aEnd) {
     case http::CallEnd::kAnswered:
@@ -63,7 +63,7 @@
 }
 
 double
-Seconds(Duration aDuration)
+ToSeconds(Duration aDuration)
 {
   return std::chrono::duration<double>(aDuration).count();
 }
@@ -124,7 +124,7 @@
     }
     m_engine.OnLease(lease.m_until, lease.m_position, lease.m_count, now);
     m_leaseUntil->store(lease.m_until.time_since_epoch().count());
-    Pump();
+    ExecuteActions();
     ReportApplied();
   });
 }
@@ -134,13 +134,13 @@
 {
   m_server->Post([this, done = std::move(aDone)]() {
     m_draining = true;
-    m_drainFrom = MonotonicNow();
+    m_drainStartedAt = MonotonicNow();
     m_onDrained = done;
     m_engine.Drain();
   });
 }
 
-// ----------------------------------------------------------------- incoming
+// -------------------------------------------------------- incoming requests
 
 void
 Frontend::Handle(std::shared_ptr<http::Exchange> aExchange)
@@ -202,7 +202,7 @@
     arrival->m_request = RequestId{ internal::RandomId() };
   }
   const TimePoint now = MonotonicNow();
-  const LocalId local{ ++m_lastLocal };
+  const LocalId local{ ++m_lastLocalId };
   arrival->m_local = local;
   arrival->m_service = ServiceId{ service };
   if (!arrival->m_idempotentMethod) {
@@ -226,9 +226,9 @@
     pending.m_span->SetTag("service", service);
   }
   pending.m_exchange = std::move(aExchange);
-  m_open = m_pending.size();
+  m_openRequests = m_pending.size();
   m_engine.OnArrival(std::move(*arrival), now);
-  Pump();
+  ExecuteActions();
 }
 
 void
@@ -271,7 +271,7 @@
     return response;
   };
   m_link.Put(Lookup{ RequestId{ id },
-                     kLookupPatience,
+                     kLookupTimeout,
                      [this, exchange = std::move(aExchange), answer](
                        request::BeginResult aResult) {
                        m_server->Post(
@@ -281,7 +281,7 @@
                      } });
 }
 
-// ---------------------------------------------------------------- upstreams
+// --------------------------------------------------- upstream announcements
 
 void
 Frontend::HandleUpstream(std::shared_ptr<http::Exchange> aExchange)
@@ -308,20 +308,21 @@
                       const InstanceId& aId)
 {
   internal::FieldProblem problem;
-  const auto said =
+  const auto announcement =
     internal::ParseAnnouncement(aId, aExchange->Incoming().m_body, problem);
-  if (!said) {
+  if (!announcement) {
     aExchange->Respond(FieldError(problem.m_field, problem.m_allowed));
     return;
   }
   const fleet::Instance* known = m_engine.Find(aId);
-  const bool renews = known != nullptr && !known->m_lost &&
-                      internal::SaysTheSame(known->m_announced, *said);
-  if (!renews) {
-    SendAnnouncement(std::move(aExchange), *said);
+  const bool isRenewal =
+    known != nullptr && !known->m_lost &&
+    internal::EqualsExceptSequence(known->m_announced, *announcement);
+  if (!isRenewal) {
+    SendAnnouncement(std::move(aExchange), *announcement);
     return;
   }
-  m_link.Put(Renew{ membership::RenewalKey(aId, said->m_incarnation) });
+  m_link.Put(Renew{ membership::RenewalKey(aId, announcement->m_incarnation) });
   aExchange->Respond(JsonResponse(kOk, { { "state", "renewed" } }));
 }
 
@@ -341,8 +342,9 @@
   SendAnnouncement(std::move(aExchange), leaving);
 }
 
-// Answered once it is committed: an upstream that was told "leaving" may
-// count on it that every entry stops within the lease.
+// Responds only after the announcement is committed: an upstream whose
+// "leaving" was recorded can rely on every entry to stop sending to it within
+// the lease.
 void
 Frontend::SendAnnouncement(std::shared_ptr<http::Exchange> aExchange,
                            fleet::Announcement aAnnouncement)
@@ -364,19 +366,19 @@
     } });
 }
 
-// ------------------------------------------------------------------ engine
+// ----------------------------------------------------------- engine actions
 
 void
 Frontend::Tick()
 {
   m_engine.Tick(MonotonicNow());
-  Pump();
-  const bool graceOver = MonotonicNow() > m_drainFrom + kDrainGrace;
-  if (m_draining && m_onDrained && m_pending.empty() && graceOver) {
+  ExecuteActions();
+  const bool isGraceOver = MonotonicNow() > m_drainStartedAt + kDrainGrace;
+  if (m_draining && m_onDrained && m_pending.empty() && isGraceOver) {
     m_server->StopAccepting();
     m_link.Put(Leave{ std::exchange(m_onDrained, nullptr) });
   }
-  if (m_reportedLeftovers || !m_engine.Leftovers().empty()) {
+  if (m_hasReportedInFlight || !m_engine.Leftovers().empty()) {
     ReportApplied();
   }
 }
@@ -389,56 +391,58 @@
   for (const auto& [id, count] : m_engine.Leftovers()) {
     applied.m_inFlight.push_back({ id, count });
   }
-  m_reportedLeftovers = !applied.m_inFlight.empty();
+  m_hasReportedInFlight = !applied.m_inFlight.empty();
   m_link.Put(std::move(applied));
 }
 
 void
-Frontend::Pump()
+Frontend::ExecuteActions()
 {
   for (auto actions = m_engine.TakeActions(); !actions.empty();
        actions = m_engine.TakeActions()) {
     for (request::Action& action : actions) {
-      std::visit([this](auto& aOne) { Carry(std::move(aOne)); }, action);
+      std::visit(
+        [this](auto& aEngineAction) { Execute(std::move(aEngineAction)); },
+        action);
     }
   }
 }
 
 void
-Frontend::Carry(request::AskBegin aAsk)
+Frontend::Execute(request::AskBegin aAction)
 {
-  Pending& pending = m_pending.at(aAsk.m_local);
+  Pending& pending = m_pending.at(aAction.m_local);
   if (pending.m_span) {
-    pending.m_step = m_tracer->StartSpan(
+    pending.m_stepSpan = m_tracer->StartSpan(
       "entry.record", { opentracing::ChildOf(&pending.m_span->context()) });
   }
-  const LocalId local = aAsk.m_local;
-  m_link.Put(Begin{ std::move(aAsk.m_begin),
-                    aAsk.m_patience,
+  const LocalId local = aAction.m_local;
+  m_link.Put(Begin{ std::move(aAction.m_begin),
+                    aAction.m_patience,
                     [this, local](request::BeginResult aResult) {
                       m_server->Post(
                         [this, local, result = std::move(aResult)]() {
                           const auto found = m_pending.find(local);
                           if (found != m_pending.end()) {
-                            found->second.m_step.reset();
+                            found->second.m_stepSpan.reset();
                           }
                           m_engine.OnBegin(local, result, MonotonicNow());
-                          Pump();
+                          ExecuteActions();
                         });
                     } });
 }
 
 void
-Frontend::Carry(request::AskRecord aAsk)
+Frontend::Execute(request::AskRecord aAction)
 {
-  const LocalId local = aAsk.m_local;
-  m_link.Put(Lookup{ std::move(aAsk.m_request),
-                     aAsk.m_patience,
+  const LocalId local = aAction.m_local;
+  m_link.Put(Lookup{ std::move(aAction.m_request),
+                     aAction.m_patience,
                      [this, local](request::BeginResult aResult) {
                        m_server->Post(
                          [this, local, result = std::move(aResult)]() {
                            m_engine.OnBegin(local, result, MonotonicNow());
-                           Pump();
+                           ExecuteActions();
                          });
                      } });
 }
@@ -452,21 +456,22 @@
   call.m_address = aDispatch.m_upstream.m_address;
   call.m_method = incoming.m_method;
   call.m_target = incoming.m_target;
-  call.m_headers = internal::WithoutOwn(incoming.m_headers);
+  call.m_headers = internal::ForwardableHeaders(incoming.m_headers);
   call.m_headers.push_back({ internal::kKeyHeader, aPending.m_request.Get() });
   call.m_headers.push_back(
     { internal::kTimeoutHeader,
       std::to_string(ToMillis(aDispatch.m_timeout).count()) });
-  if (aPending.m_step) {
+  if (aPending.m_stepSpan) {
     call.m_headers.push_back(
       { internal::kTraceHeader,
-        telemetry::ContextOf(*aPending.m_step).ToTraceParent() });
+        telemetry::ContextOf(*aPending.m_stepSpan).ToTraceParent() });
   }
   call.m_body = aPending.m_body;
   call.m_timeout = aDispatch.m_timeout;
   call.m_onlyOnce = aDispatch.m_onlyOnce;
-  // An entry that was frozen wakes up here and goes on as if nothing had
-  // happened; by then its lease may be over and the upstream on its way out.
+  // Checked again right before sending: if the process was suspended after the
+  // engine's decision, its lease may have ended and the upstream may be
+  // leaving.
   call.m_maySend = [lease = m_leaseUntil]() {
     return MonotonicNow().time_since_epoch().count() < lease->load();
   };
@@ -474,14 +479,15 @@
 }
 
 void
-Frontend::Carry(const request::Dispatch& aDispatch)
+Frontend::Execute(const request::Dispatch& aDispatch)
 {
   Pending& pending = m_pending.at(aDispatch.m_local);
   if (pending.m_span) {
-    pending.m_step = m_tracer->StartSpan(
+    pending.m_stepSpan = m_tracer->StartSpan(
       "upstream.call", { opentracing::ChildOf(&pending.m_span->context()) });
-    pending.m_step->SetTag("upstream", aDispatch.m_upstream.m_instance.Get());
-    pending.m_step->SetTag("attempt", aDispatch.m_number);
+    pending.m_stepSpan->SetTag("upstream",
+                               aDispatch.m_upstream.m_instance.Get());
+    pending.m_stepSpan->SetTag("attempt", aDispatch.m_number);
   }
   const LocalId local = aDispatch.m_local;
   const std::uint32_t number = aDispatch.m_number;
@@ -501,7 +507,7 @@
                      http::CallResult aResult)
 {
   request::AttemptResult result;
-  result.m_end = ToEnd(aResult.m_end);
+  result.m_end = ToAttemptEnd(aResult.m_end);
   result.m_status = aResult.m_response.m_status;
   result.m_took = aResult.m_took;
   result.m_provesNotRun = result.m_end == AttemptEnd::kAnswered &&
@@ -510,10 +516,10 @@
   const auto found = m_pending.find(aLocal);
   if (found != m_pending.end()) {
     Pending& pending = found->second;
-    if (pending.m_step) {
-      pending.m_step->SetTag("status", result.m_status);
-      pending.m_step->SetTag("end", aResult.m_detail);
-      pending.m_step.reset();
+    if (pending.m_stepSpan) {
+      pending.m_stepSpan->SetTag("status", result.m_status);
+      pending.m_stepSpan->SetTag("end", aResult.m_detail);
+      pending.m_stepSpan.reset();
     }
     if (result.m_end != AttemptEnd::kAnswered) {
       telemetry::LogLine(telemetry::Level::kDebug, "attempt failed")
@@ -523,25 +529,25 @@
     }
     pending.m_answer = std::move(aResult.m_response);
   }
-  m_metrics.Observe("upstream_seconds", Seconds(result.m_took));
+  m_metrics.Observe("upstream_seconds", ToSeconds(result.m_took));
   m_engine.OnAttempt(aLocal, aNumber, result, MonotonicNow());
-  Pump();
+  ExecuteActions();
 }
 
 void
-Frontend::Carry(const request::Relay& aRelay)
+Frontend::Execute(const request::Relay& aRelay)
 {
   Pending& pending = m_pending.at(aRelay.m_local);
   http::Response response = std::move(pending.m_answer);
-  response.m_headers = internal::WithoutOwn(response.m_headers);
+  response.m_headers = internal::ForwardableHeaders(response.m_headers);
   response.m_headers.push_back({ kOutcomeHeader, "done" });
   Respond(pending, std::move(response));
   m_pending.erase(aRelay.m_local);
-  m_open = m_pending.size();
+  m_openRequests = m_pending.size();
 }
 
 void
-Frontend::Carry(request::Resolve aResolve)
+Frontend::Execute(request::Resolve aResolve)
 {
   if (aResolve.m_withAnswer) {
     aResolve.m_resolve.m_answer =
@@ -552,7 +558,7 @@
 }
 
 void
-Frontend::Carry(request::Conclude aConclude)
+Frontend::Execute(request::Conclude aConclude)
 {
   Pending& pending = m_pending.at(aConclude.m_local);
   const char* outcome = outcome::Describe(aConclude.m_state);
@@ -584,7 +590,7 @@
     .Write();
   Respond(pending, std::move(response));
   m_pending.erase(aConclude.m_local);
-  m_open = m_pending.size();
+  m_openRequests = m_pending.size();
 }
 
 void
@@ -597,7 +603,7 @@
     aPending.m_span->Finish();
   }
   m_metrics.Observe("request_seconds",
-                    Seconds(MonotonicNow() - aPending.m_arrivedAt));
+                    ToSeconds(MonotonicNow() - aPending.m_arrivedAt));
   aPending.m_exchange->Respond(std::move(aResponse));
 }
 
--- a/src/entry/jobs_api.cpp
+++ b/src/entry/jobs_api.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr std::string_view kQueues = "/v1/queues/";
-constexpr std::string_view kJobs = "/jobs/";
-constexpr Millis kAskAgain{ 1000 };
+constexpr std::string_view kQueuesPrefix = "/v1/queues/";
+constexpr std::string_view kJobsSegment = "/jobs/";
+constexpr Millis kMinRetryAfter{ 1000 };
 
 std::uint32_t
 StatusOf(jobs::QueueOutcome aOutcome)
@@ -50,21 +50,22 @@
   http::Response response = JsonResponse(status, body);
   if (status == status::kUnavailable || status == status::kTimeout ||
       status == status::kTooManyRequests) {
-    AddRetryAfter(response, std::max(aReply.m_retryAfter, kAskAgain));
+    AddRetryAfter(response, std::max(aReply.m_retryAfter, kMinRetryAfter));
   }
   return response;
 }
 
-/** Reads method, queue and id; nothing where the request has been answered. */
+/** Reads method, queue, id and job. If the request is invalid, responds to it
+ * and returns nothing. */
 std::optional<jobs::QueueCall>
 ReadCall(http::Exchange& aExchange)
 {
   const http::Request& request = aExchange.Incoming();
-  const std::string rest = request.m_target.substr(kQueues.size());
-  const std::size_t jobs = rest.find(kJobs);
+  const std::string rest = request.m_target.substr(kQueuesPrefix.size());
+  const std::size_t jobs = rest.find(kJobsSegment);
   const std::string queue = rest.substr(0, jobs);
   const std::string id =
-    jobs == std::string::npos ? "" : rest.substr(jobs + kJobs.size());
+    jobs == std::string::npos ? "" : rest.substr(jobs + kJobsSegment.size());
   jobs::QueueCall call;
   call.m_path = "/" + queue + "/" + id;
   if (request.m_method == "GET") {
@@ -80,12 +81,12 @@
       { { "allowed", id.empty() ? "GET" : "GET, POST, DELETE" } }));
     return std::nullopt;
   }
-  json::BadField bad;
-  auto spec = wire::ReadJobSpec(request.m_body, bad);
+  json::BadField invalid;
+  auto spec = wire::ReadJobSpec(request.m_body, invalid);
   if (!spec) {
-    aExchange.Respond(
-      JsonResponse(status::kBadRequest,
-                   { { "field", bad.m_field }, { "allowed", bad.m_allowed } }));
+    aExchange.Respond(JsonResponse(
+      status::kBadRequest,
+      { { "field", invalid.m_field }, { "allowed", invalid.m_allowed } }));
     return std::nullopt;
   }
   call.m_kind = jobs::CallKind::kSubmit;
@@ -100,7 +101,7 @@
            http::Server& aServer,
            const std::shared_ptr<http::Exchange>& aExchange)
 {
-  if (!aExchange->Incoming().m_target.starts_with(kQueues)) {
+  if (!aExchange->Incoming().m_target.starts_with(kQueuesPrefix)) {
     return false;
   }
   auto call = ReadCall(*aExchange);
--- a/src/entry/jobs_api.h
+++ b/src/entry/jobs_api.h
@@ -5,8 +5,9 @@
 
 namespace bamboostile::entry::internal {
 
-/** Jobs for callers: /v1/queues/{queue} and /v1/queues/{queue}/jobs/{id}. On
- * the server's thread; false where the path is none of these. */
+/** Handles callers' requests to /v1/queues/{queue} and
+ * /v1/queues/{queue}/jobs/{id}, on the server's thread. Returns false for any
+ * other path. */
 bool HandleJobs(QueueGateway& aGateway,
                 http::Server& aServer,
                 const std::shared_ptr<http::Exchange>& aExchange);
--- a/src/entry/leader_client.cpp
+++ b/src/entry/leader_client.cpp
@@ -8,9 +8,11 @@
 
 namespace {
 
-/** More than the group ever has; old addresses drop off the end. */
+/** More than a control group ever has; further addresses drop off the end of
+ * the list. */
 constexpr std::size_t kMaxReplicas = 12;
-/** Two replicas may name each other while neither leads. */
+/** Limits redirects per call: two replicas may each name the other as leader
+ * while neither leads. */
 constexpr std::size_t kMaxRedirects = 2;
 
 kj::Duration
@@ -28,7 +30,7 @@
   , m_timer(aProvider.getTimer())
   , m_options(aOptions)
   , m_replicas(std::move(aSeeds))
-  , m_lastHeard(MonotonicNow())
+  , m_lastAnyAnswerAt(MonotonicNow())
 {
 }
 
@@ -79,22 +81,23 @@
 }
 
 kj::Promise<jobs::QueueReply>
-LeaderClient::Call(jobs::QueueCall aCall, std::optional<Duration> aWithin)
+LeaderClient::Call(jobs::QueueCall aCall, std::optional<Duration> aTimeout)
 {
-  auto attempts = kj::heap<Attempts>();
-  attempts->m_call = std::move(aCall);
-  attempts->m_until =
-    MonotonicNow() +
-    std::min(aWithin.value_or(m_options.m_total), m_options.m_total);
-  return Try(kj::mv(attempts));
+  auto progress = kj::heap<CallProgress>();
+  progress->m_call = std::move(aCall);
+  progress->m_deadline =
+    MonotonicNow() + std::min(aTimeout.value_or(m_options.m_totalTimeout),
+                              m_options.m_totalTimeout);
+  return TryNextReplica(kj::mv(progress));
 }
 
-// An instance without power answers no connection request, and would take the
-// whole time of an attempt from the replicas behind it.
+// An instance without power does not respond to a connection request. Without
+// this shorter timeout it would use up a whole attempt before the next replica
+// is tried.
 kj::Promise<jobs::QueueReply>
 LeaderClient::FailUnlessConnected(std::shared_ptr<const bool> aIsConnected)
 {
-  return m_timer.afterDelay(ToKj(m_options.m_connect))
+  return m_timer.afterDelay(ToKj(m_options.m_connectTimeout))
     .then([isConnected =
              std::move(aIsConnected)]() -> kj::Promise<jobs::QueueReply> {
       if (*isConnected) {
@@ -105,88 +108,90 @@
 }
 
 kj::Promise<jobs::QueueReply>
-LeaderClient::TryAgain(kj::Own<Attempts> aAttempts, bool aRoundIsOver)
+LeaderClient::Retry(kj::Own<CallProgress> aProgress, bool aIsRoundComplete)
 {
   const TimePoint now = MonotonicNow();
-  const bool isOutage = now >= m_lastHeard + m_options.m_outageAfter;
-  const bool isRefused = isOutage && !aAttempts->m_unclear;
-  if (isRefused || now >= aAttempts->m_until) {
+  const bool isOutage = now >= m_lastAnyAnswerAt + m_options.m_outageThreshold;
+  const bool isRefused = isOutage && !aProgress->m_mayBeAccepted;
+  if (isRefused || now >= aProgress->m_deadline) {
     jobs::QueueReply reply;
-    // A refusal must be true: where any replica may have taken the call, the
-    // caller hears that its fate is not known.
-    reply.m_outcome = aAttempts->m_unclear ? jobs::QueueOutcome::kUndecided
-                                           : jobs::QueueOutcome::kNotLeader;
+    // A call is refused only if no replica can have accepted it; otherwise its
+    // outcome is reported as undecided.
+    reply.m_outcome = aProgress->m_mayBeAccepted
+                        ? jobs::QueueOutcome::kUndecided
+                        : jobs::QueueOutcome::kNotLeader;
     return reply;
   }
-  if (!aRoundIsOver) {
-    return Try(kj::mv(aAttempts));
+  if (!aIsRoundComplete) {
+    return TryNextReplica(kj::mv(aProgress));
   }
-  aAttempts->m_next = 0;
-  return m_timer.afterDelay(ToKj(m_options.m_pause))
-    .then([this, attempts = kj::mv(aAttempts)]() mutable {
-      return Try(kj::mv(attempts));
+  aProgress->m_nextReplica = 0;
+  return m_timer.afterDelay(ToKj(m_options.m_roundPause))
+    .then([this, progress = kj::mv(aProgress)]() mutable {
+      return TryNextReplica(kj::mv(progress));
     });
 }
 
 kj::Promise<jobs::QueueReply>
-LeaderClient::Try(kj::Own<Attempts> aAttempts)
+LeaderClient::TryNextReplica(kj::Own<CallProgress> aProgress)
 {
-  if (aAttempts->m_next >= m_replicas.size()) {
-    return TryAgain(kj::mv(aAttempts), true);
+  if (aProgress->m_nextReplica >= m_replicas.size()) {
+    return Retry(kj::mv(aProgress), true);
   }
-  const std::string address = m_replicas[aAttempts->m_next++];
+  const std::string address = m_replicas[aProgress->m_nextReplica++];
   const TimePoint now = MonotonicNow();
   const Duration left =
-    std::max<Duration>(aAttempts->m_until - now, Millis{ 1 });
-  auto sent = Send(address, aAttempts->m_call);
-  // Where no connection was made, nothing has left this process, and after the
-  // drop below nothing will: such an attempt does not make the fate unclear.
+    std::max<Duration>(aProgress->m_deadline - now, Millis{ 1 });
+  auto sent = Send(address, aProgress->m_call);
+  // Without a connection nothing has left this process, and nothing will after
+  // the channel is dropped below, so such an attempt cannot have been accepted.
   const auto isConnected = TargetAt(address).m_channel->IsConnected();
   auto answered =
-    m_timer.timeoutAfter(ToKj(std::min(left, m_options.m_attempt)),
+    m_timer.timeoutAfter(ToKj(std::min(left, m_options.m_attemptTimeout)),
                          sent.exclusiveJoin(FailUnlessConnected(isConnected)));
   return answered
     .then(
       [this, address](jobs::QueueReply&& aReply) {
-        m_lastHeard = MonotonicNow();
-        TargetAt(address).m_lastAnswer = m_lastHeard;
+        m_lastAnyAnswerAt = MonotonicNow();
+        TargetAt(address).m_lastAnswerAt = m_lastAnyAnswerAt;
         return kj::Maybe<jobs::QueueReply>{ kj::mv(aReply) };
       },
-      // A connection that went silent looks alive for minutes; the next call
-      // gets a new one. One on which others were answered meanwhile is only
-      // slow, and dropping it would take their calls with it.
+      // A connection to an unresponsive peer appears open for minutes, so it is
+      // dropped and the next call opens a new one. If other calls on it were
+      // answered since this attempt began, the replica is only slow, and
+      // dropping the connection would abort their calls too.
       [this, address, isConnected, now](
         kj::Exception&&) -> kj::Maybe<jobs::QueueReply> {
         Target& target = TargetAt(address);
-        if (target.m_lastAnswer < now || !*isConnected) {
+        if (target.m_lastAnswerAt < now || !*isConnected) {
           target.m_channel->Drop();
         }
         return nullptr;
       })
-    .then([this, address, isConnected, attempts = kj::mv(aAttempts)](
+    .then([this, address, isConnected, progress = kj::mv(aProgress)](
             kj::Maybe<jobs::QueueReply>&& aReply) mutable
           -> kj::Promise<jobs::QueueReply> {
       KJ_IF_MAYBE (reply, aReply) {
         if (reply->m_outcome == jobs::QueueOutcome::kNotLeader) {
-          const bool isNews = !reply->m_leaderAddress.empty() &&
-                              reply->m_leaderAddress != m_replicas.front();
+          const bool isNewLeader = !reply->m_leaderAddress.empty() &&
+                                   reply->m_leaderAddress != m_replicas.front();
           LearnLeader(reply->m_leaderAddress);
-          if (isNews && attempts->m_redirects++ < kMaxRedirects) {
-            attempts->m_next = 0;
+          if (isNewLeader && progress->m_redirectCount++ < kMaxRedirects) {
+            progress->m_nextReplica = 0;
           }
-          return TryAgain(kj::mv(attempts), false);
+          return Retry(kj::mv(progress), false);
         }
         LearnLeader(address);
-        // After an attempt that may have been taken, a refusal by a later one
-        // would claim more than is known.
-        if (attempts->m_unclear &&
+        // An earlier attempt may have been accepted, so a refusal of a later
+        // one does not show that the call was not accepted.
+        if (progress->m_mayBeAccepted &&
             reply->m_outcome == jobs::QueueOutcome::kRefused) {
           reply->m_outcome = jobs::QueueOutcome::kUndecided;
         }
         return kj::mv(*reply);
       }
-      attempts->m_unclear = attempts->m_unclear || *isConnected;
-      return TryAgain(kj::mv(attempts), false);
+      progress->m_mayBeAccepted = progress->m_mayBeAccepted || *isConnected;
+      return Retry(kj::mv(progress), false);
     });
 }
 
--- a/src/entry/leader_watch.cpp
+++ b/src/entry/leader_watch.cpp
@@ -9,12 +9,12 @@
 using telemetry::Level;
 using telemetry::LogLine;
 
-/** Between two questions. Short beside an election, so the new leader is named
- * soon after it has won. */
-constexpr kj::Duration kInterval = 200 * kj::MILLISECONDS;
-/** For all attempts of one question: long enough to ask each of three replicas
- * once, one of which may be silent. */
-constexpr Duration kPatience = Millis{ 1000 };
+/** Pause between two polls. Short compared with an election, so that a new
+ * leader is known soon after it is elected. */
+constexpr kj::Duration kPollInterval = 200 * kj::MILLISECONDS;
+/** Timeout of one poll with all its attempts: long enough to ask each of three
+ * replicas once, one of which may be unresponsive. */
+constexpr Duration kPollTimeout = Millis{ 1000 };
 
 } // namespace
 
@@ -30,7 +30,7 @@
 void
 LeaderWatch::taskFailed(kj::Exception&& aException)
 {
-  LogLine(Level::kWarning, "the leader is followed no more")
+  LogLine(Level::kWarning, "leader polling stopped")
     .With("reason", std::string{ aException.getDescription().cStr() })
     .Write();
 }
@@ -42,7 +42,7 @@
                          aReply.m_outcome != jobs::QueueOutcome::kUndecided;
   std::string leader = isLeading ? m_client.LastLeader() : std::string{};
   if (leader != m_leader) {
-    LogLine(Level::kInfo, "leader followed")
+    LogLine(Level::kInfo, "leader changed")
       .With("leader", leader)
       .With("before", m_leader)
       .Write();
@@ -50,15 +50,15 @@
   m_leader = std::move(leader);
 }
 
-// A call that names no queue: only the leader answers it, and it costs it no
-// look at its state.
+// The poll is a call that names no queue: only the leader answers it, and the
+// answer needs no access to the leader's state.
 kj::Promise<void>
 LeaderWatch::Loop()
 {
-  return m_client.Call(jobs::QueueCall{}, kPatience)
+  return m_client.Call(jobs::QueueCall{}, kPollTimeout)
     .then([this](const jobs::QueueReply& aReply) {
       OnAnswer(aReply);
-      return m_timer.afterDelay(kInterval);
+      return m_timer.afterDelay(kPollInterval);
     })
     .then([this]() { return Loop(); });
 }
--- a/src/entry/link.cpp
+++ b/src/entry/link.cpp
@@ -15,10 +15,11 @@
 using request::BeginResult;
 using wire::ToString;
 
-/** Outcomes are worth recording long after the caller has its answer. */
-constexpr Duration kResolvePatience = Millis{ 60'000 };
-constexpr Duration kGoodbyePatience = Millis{ 2000 };
-constexpr Duration kAnnouncePatience = Millis{ 3000 };
+/** Timeout for recording an outcome. Long, since a record is still useful long
+ * after the caller has its answer. */
+constexpr Duration kResolveTimeout = Millis{ 60'000 };
+constexpr Duration kLeaveTimeout = Millis{ 2000 };
+constexpr Duration kAnnounceTimeout = Millis{ 3000 };
 
 kj::Duration
 ToKj(Duration aDuration)
@@ -70,7 +71,7 @@
   , m_inbox(aInbox)
   , m_onLease(std::move(aOnLease))
   , m_addresses(m_options.m_seeds)
-  , m_current(m_addresses.front())
+  , m_currentAddress(m_addresses.front())
   , m_tasks(*this)
 {
   m_tasks.add(InboxLoop());
@@ -90,7 +91,7 @@
 {
   return m_inbox.Take().then([this](std::vector<LinkMessage> aMessages) {
     for (LinkMessage& message : aMessages) {
-      std::visit([this](auto& aOne) { Run(std::move(aOne)); }, message);
+      std::visit([this](auto& aMessage) { Run(std::move(aMessage)); }, message);
     }
     return InboxLoop();
   });
@@ -99,51 +100,55 @@
 // ------------------------------------------------------- finding the leader
 
 rpc::Channel&
-Link::Current()
+Link::CurrentChannel()
 {
-  auto& channel = m_channels[m_current];
+  auto& channel = m_channels[m_currentAddress];
   if (channel.get() == nullptr) {
-    channel = kj::refcounted<rpc::Channel>(m_provider.getNetwork(), m_current);
+    channel =
+      kj::refcounted<rpc::Channel>(m_provider.getNetwork(), m_currentAddress);
   }
   return *channel;
 }
 
 void
-Link::MoveOn(const std::string& aFrom, const std::string& aHint)
+Link::SelectNextReplica(const std::string& aFrom, const std::string& aHint)
 {
-  // Several calls fail together; only the first of them moves on.
-  if (aFrom != m_current) {
+  // When several calls fail together, only the first of them selects another
+  // replica.
+  if (aFrom != m_currentAddress) {
     return;
   }
-  if (!aHint.empty() && aHint != m_current) {
-    m_current = aHint;
+  if (!aHint.empty() && aHint != m_currentAddress) {
+    m_currentAddress = aHint;
     return;
   }
-  const auto at = std::find(m_addresses.begin(), m_addresses.end(), m_current);
+  const auto at =
+    std::find(m_addresses.begin(), m_addresses.end(), m_currentAddress);
   const std::size_t next =
     at == m_addresses.end() ? 0 : at - m_addresses.begin() + 1;
-  m_current = m_addresses[next % m_addresses.size()];
+  m_currentAddress = m_addresses[next % m_addresses.size()];
 }
 
-// A connection that was refused, or went silent, fails every later call as
-// well. Kept by one kind of call, it would turn away from the leader just when
-// another kind has learned its address, for as long as both go on in step. Of
-// calls that fail together the first one drops it; the next may use a new one
-// already.
+// A connection that was refused or became unresponsive fails every later call
+// too. If it were kept, a failing call of one kind could switch away from
+// the leader just when a call of another kind has learned its address, and this
+// would repeat for as long as both keep retrying at the same rate. When several
+// calls fail together, only the first drops the connection, since the next may
+// already be using a new one.
 void
 Link::OnCallFailed(const std::string& aFrom)
 {
-  if (aFrom == m_current) {
+  if (aFrom == m_currentAddress) {
     m_channels.at(aFrom)->Drop();
   }
-  MoveOn(aFrom, "");
+  SelectNextReplica(aFrom, "");
 }
 
 void
 Link::LearnAddresses(schema::SyncReply::Reader aReply)
 {
-  // Members first, the seeds of the settings after them: the group may have
-  // moved since the settings were written.
+  // The group's members precede the seeds from the settings, because the group
+  // may have moved since the settings were written.
   std::vector<std::string> learned;
   for (auto address : aReply.getControlAddresses()) {
     learned.push_back(ToString(address));
@@ -160,7 +165,8 @@
 kj::Promise<T>
 Link::WithTimeout(kj::Promise<T> aPromise)
 {
-  return m_timer.timeoutAfter(ToKj(m_options.m_tryTimeout), kj::mv(aPromise));
+  return m_timer.timeoutAfter(ToKj(m_options.m_attemptTimeout),
+                              kj::mv(aPromise));
 }
 
 kj::Promise<void>
@@ -169,7 +175,7 @@
   return m_timer.afterDelay(ToKj(m_options.m_retryPause));
 }
 
-// --------------------------------------------------------------------- sync
+// -------------------------------------------- sync: lease, view and renewals
 
 kj::Promise<void>
 Link::SyncLoop()
@@ -180,14 +186,14 @@
 kj::Promise<void>
 Link::SyncOnce()
 {
-  const std::string address = m_current;
-  auto call = Current().Get().syncRequest();
+  const std::string address = m_currentAddress;
+  auto call = CurrentChannel().Get().syncRequest();
   auto request = call.initRequest();
   wire::Write(m_options.m_self, request.initEntry());
   request.setZone(m_options.m_zone.Get());
   request.setHttp(m_options.m_httpAddress);
   request.setRevision(m_applied.m_revision.Get());
-  const bool leaving = m_leave.has_value();
+  const bool leaving = m_pendingLeave.has_value();
   request.setLeaving(leaving);
   const std::vector<std::uint64_t> renewals(m_renewals.begin(),
                                             m_renewals.end());
@@ -200,8 +206,8 @@
     inFlight[i].setId(m_applied.m_inFlight[i].m_instance.Get());
     inFlight[i].setCount(m_applied.m_inFlight[i].m_count);
   }
-  // The lease counts from before the request leaves, so that delay on the
-  // way, or a freeze in between, can only shorten it.
+  // The lease is measured from before the request is sent, so that network
+  // delay or a suspended process can only shorten it.
   const TimePoint sentAt = MonotonicNow();
   kj::Promise<capnp::Response<schema::Control::SyncResults>> sent = call.send();
   return WithTimeout(kj::mv(sent))
@@ -210,15 +216,15 @@
         auto aResponse) -> kj::Promise<void> {
         const auto reply = aResponse.getReply();
         if (leaving) {
-          m_leave->m_done();
+          m_pendingLeave->m_done();
           return kj::NEVER_DONE;
         }
         if (reply.getOutcome() != schema::SyncOutcome::OK) {
-          MoveOn(address, ToString(reply.getLeaderAddress()));
+          SelectNextReplica(address, ToString(reply.getLeaderAddress()));
           return Pause();
         }
         OnSynced(reply, sentAt, renewals);
-        if (m_applied.m_revision >= m_handedOver) {
+        if (m_applied.m_revision >= m_deliveredRevision) {
           return kj::READY_NOW;
         }
         auto pair = kj::newPromiseAndFulfiller<void>();
@@ -246,12 +252,12 @@
   lease.m_count = aReply.getLiveEntries();
   if (aReply.hasView()) {
     lease.m_view = fleet::DecodeView(ToString(aReply.getView()));
-    // A leader that knows less than we have in force cannot be: what is in
-    // force was committed. Its view would turn a configuration back.
+    // An applied view was committed, so no leader can have an older revision.
+    // Applying such a view would revert a configuration.
     if (!lease.m_view || lease.m_view->m_revision < m_applied.m_revision) {
       return;
     }
-    m_handedOver = lease.m_view->m_revision;
+    m_deliveredRevision = lease.m_view->m_revision;
   }
   m_onLease(std::move(lease));
 }
@@ -260,7 +266,7 @@
 Link::Run(Applied aApplied)
 {
   m_applied = std::move(aApplied);
-  if (m_applied.m_revision >= m_handedOver) {
+  if (m_applied.m_revision >= m_deliveredRevision) {
     KJ_IF_MAYBE (waiter, m_appliedWaiter) {
       (*waiter)->fulfill();
       m_appliedWaiter = nullptr;
@@ -271,11 +277,11 @@
 void
 Link::Run(Leave aLeave)
 {
-  m_leave = std::move(aLeave);
-  // With the control group gone nobody takes the goodbye. The lease then runs
-  // out by itself, which says the same.
-  m_tasks.add(m_timer.afterDelay(ToKj(kGoodbyePatience)).then([this]() {
-    m_leave->m_done();
+  m_pendingLeave = std::move(aLeave);
+  // If the control group is unreachable, the sign-off is not delivered; the
+  // lease then expires, which has the same effect.
+  m_tasks.add(m_timer.afterDelay(ToKj(kLeaveTimeout)).then([this]() {
+    m_pendingLeave->m_done();
   }));
 }
 
@@ -285,37 +291,39 @@
   m_renewals.insert(aRenew.m_key);
 }
 
-// ------------------------------------------------------------ announcements
+// ---------------------------------------------------- sending announcements
 
 void
 Link::Run(Announce aAnnounce)
 {
   m_announcements.push_back(std::move(aAnnounce));
-  if (!m_flushing) {
-    m_flushing = true;
+  if (!m_isFlushing) {
+    m_isFlushing = true;
     m_tasks.add(FlushAnnouncements());
   }
 }
 
-// What arrives while one batch is committed goes with the next, so that a
-// restart of many upstreams is a few commands, not thousands.
+// Announcements that arrive while a batch is being committed go into the next
+// batch, so that a restart of many upstreams takes a few commands instead of
+// thousands.
 kj::Promise<void>
 Link::FlushAnnouncements()
 {
   if (m_announcements.empty()) {
-    m_flushing = false;
+    m_isFlushing = false;
     return kj::READY_NOW;
   }
   auto batch = std::exchange(m_announcements, {});
-  std::vector<fleet::Announcement> said;
-  said.reserve(batch.size());
-  for (const Announce& one : batch) {
-    said.push_back(one.m_announcement);
+  std::vector<fleet::Announcement> announcements;
+  announcements.reserve(batch.size());
+  for (const Announce& announce : batch) {
+    announcements.push_back(announce.m_announcement);
   }
-  const TimePoint until = MonotonicNow() + kAnnouncePatience;
-  auto attempt = [this, said, until](auto& aSelf) -> kj::Promise<bool> {
-    return TryAnnounce(said).then(
-      [this, until, &aSelf](bool aDone) -> kj::Promise<bool> {
+  const TimePoint until = MonotonicNow() + kAnnounceTimeout;
+  auto attempt =
+    [this, announcements, until](auto& aSelf) -> kj::Promise<bool> {
+    return TryAnnounce(announcements)
+      .then([this, until, &aSelf](bool aDone) -> kj::Promise<bool> {
         if (aDone || MonotonicNow() >= until) {
           return aDone;
         }
@@ -327,8 +335,8 @@
   return run(run)
     .attach(kj::mv(held))
     .then([this, batch = std::move(batch)](bool aDone) {
-      for (const Announce& one : batch) {
-        one.m_done(aDone);
+      for (const Announce& announce : batch) {
+        announce.m_done(aDone);
       }
       return FlushAnnouncements();
     });
@@ -337,8 +345,8 @@
 kj::Promise<bool>
 Link::TryAnnounce(std::vector<fleet::Announcement> aBatch)
 {
-  const std::string address = m_current;
-  auto call = Current().Get().announceRequest();
+  const std::string address = m_currentAddress;
+  auto call = CurrentChannel().Get().announceRequest();
   auto list = call.initAnnouncements(aBatch.size());
   for (std::size_t i = 0; i < aBatch.size(); ++i) {
     wire::Write(aBatch[i], list[i]);
@@ -350,7 +358,7 @@
       [this, address](auto aResponse) {
         const bool done = aResponse.getOutcome() == schema::SyncOutcome::OK;
         if (!done) {
-          MoveOn(address, ToString(aResponse.getLeaderAddress()));
+          SelectNextReplica(address, ToString(aResponse.getLeaderAddress()));
         }
         return done;
       },
@@ -360,60 +368,63 @@
       });
 }
 
-// ------------------------------------------------------- record of requests
+// ----------------------------------------------------------- request ledger
 
-/** Tells whichever replica answered from what to do next. */
+/** Converts a ledger reply to a result. If the replica that answered does not
+ * lead, selects the next one. */
 template<typename Reply>
 BeginResult
-Link::Judge(const Reply& aReply, const std::string& aAddress)
+Link::ToResultFrom(const Reply& aReply, const std::string& aAddress)
 {
   if (aReply.getOutcome() == schema::LedgerOutcome::NOT_LEADER) {
-    MoveOn(aAddress, ToString(aReply.getLeaderAddress()));
+    SelectNextReplica(aAddress, ToString(aReply.getLeaderAddress()));
   }
   return ToResult(aReply);
 }
 
-// One try after another until there is an answer or the time is over. A try
-// that timed out may be committed all the same; every call repeated here is
-// idempotent, so asking again gets the answer of the first.
+// Repeats attempts until there is an answer or the deadline passes. An attempt
+// that timed out may still be committed; every call repeated here is
+// idempotent, so a later attempt gets the answer of the first.
 kj::Promise<BeginResult>
-Link::AskUntil(Try aTry, TimePoint aUntil)
+Link::RetryUntil(SendAttempt aSendAttempt, TimePoint aUntil)
 {
-  const std::string address = m_current;
+  const std::string address = m_currentAddress;
   const Duration left =
     std::max<Duration>(aUntil - MonotonicNow(), Millis{ 1 });
-  kj::Promise<BeginResult> sent = aTry();
+  kj::Promise<BeginResult> sent = aSendAttempt();
   return m_timer
-    .timeoutAfter(ToKj(std::min(left, m_options.m_tryTimeout)), kj::mv(sent))
+    .timeoutAfter(ToKj(std::min(left, m_options.m_attemptTimeout)),
+                  kj::mv(sent))
     .then([](BeginResult aResult) { return aResult; },
           [this, address](kj::Exception&&) {
             OnCallFailed(address);
             return BeginResult{};
           })
-    .then([this, again = std::move(aTry), aUntil](
+    .then([this, sendAttempt = std::move(aSendAttempt), aUntil](
             BeginResult aResult) mutable -> kj::Promise<BeginResult> {
       const bool decided = aResult.m_outcome != BeginOutcome::kUndecided;
       if (decided || MonotonicNow() + m_options.m_retryPause >= aUntil) {
         return aResult;
       }
-      return Pause().then([this, again = std::move(again), aUntil]() mutable {
-        return AskUntil(std::move(again), aUntil);
-      });
+      return Pause().then(
+        [this, sendAttempt = std::move(sendAttempt), aUntil]() mutable {
+          return RetryUntil(std::move(sendAttempt), aUntil);
+        });
     });
 }
 
 void
 Link::Run(Begin aBegin)
 {
-  const TimePoint until = MonotonicNow() + aBegin.m_patience;
-  Try attempt = [this, begin = std::move(aBegin.m_begin)]() {
-    auto call = Current().Get().beginRequest();
+  const TimePoint until = MonotonicNow() + aBegin.m_timeout;
+  SendAttempt attempt = [this, begin = std::move(aBegin.m_begin)]() {
+    auto call = CurrentChannel().Get().beginRequest();
     wire::Write(begin, call.initBegin());
-    return call.send().then([this, address = m_current](auto aResponse) {
-      return Judge(aResponse.getReply(), address);
+    return call.send().then([this, address = m_currentAddress](auto aResponse) {
+      return ToResultFrom(aResponse.getReply(), address);
     });
   };
-  m_tasks.add(AskUntil(std::move(attempt), until)
+  m_tasks.add(RetryUntil(std::move(attempt), until)
                 .then([done = std::move(aBegin.m_done)](BeginResult aResult) {
                   done(std::move(aResult));
                 }));
@@ -422,15 +433,15 @@
 void
 Link::Run(Lookup aLookup)
 {
-  const TimePoint until = MonotonicNow() + aLookup.m_patience;
-  Try attempt = [this, request = std::move(aLookup.m_request)]() {
-    auto call = Current().Get().lookupRequest();
+  const TimePoint until = MonotonicNow() + aLookup.m_timeout;
+  SendAttempt attempt = [this, request = std::move(aLookup.m_request)]() {
+    auto call = CurrentChannel().Get().lookupRequest();
     call.setRequest(request.Get());
-    return call.send().then([this, address = m_current](auto aResponse) {
-      return Judge(aResponse.getReply(), address);
+    return call.send().then([this, address = m_currentAddress](auto aResponse) {
+      return ToResultFrom(aResponse.getReply(), address);
     });
   };
-  m_tasks.add(AskUntil(std::move(attempt), until)
+  m_tasks.add(RetryUntil(std::move(attempt), until)
                 .then([done = std::move(aLookup.m_done)](BeginResult aResult) {
                   done(std::move(aResult));
                 }));
@@ -439,15 +450,15 @@
 void
 Link::Run(Resolve aResolve)
 {
-  const TimePoint until = MonotonicNow() + kResolvePatience;
-  Try attempt = [this, resolve = std::move(aResolve.m_resolve)]() {
-    auto call = Current().Get().resolveRequest();
+  const TimePoint until = MonotonicNow() + kResolveTimeout;
+  SendAttempt attempt = [this, resolve = std::move(aResolve.m_resolve)]() {
+    auto call = CurrentChannel().Get().resolveRequest();
     wire::Write(resolve, call.initResolve());
-    return call.send().then([this, address = m_current](auto aResponse) {
-      return Judge(aResponse.getReply(), address);
+    return call.send().then([this, address = m_currentAddress](auto aResponse) {
+      return ToResultFrom(aResponse.getReply(), address);
     });
   };
-  m_tasks.add(AskUntil(std::move(attempt), until).ignoreResult());
+  m_tasks.add(RetryUntil(std::move(attempt), until).ignoreResult());
 }
 
 } // namespace bamboostile::entry
--- a/src/entry/queue_gateway.cpp
+++ b/src/entry/queue_gateway.cpp
@@ -18,7 +18,7 @@
 void
 QueueGateway::taskFailed(kj::Exception&& aException)
 {
-  LogLine(Level::kWarning, "a caller's call failed")
+  LogLine(Level::kWarning, "queue gateway task failed")
     .With("reason", std::string{ aException.getDescription().cStr() })
     .Write();
 }
@@ -26,20 +26,20 @@
 void
 QueueGateway::Call(jobs::QueueCall aCall,
                    Done aDone,
-                   std::optional<Duration> aWithin)
+                   std::optional<Duration> aTimeout)
 {
-  m_pending.Put({ std::move(aCall), std::move(aDone), aWithin });
+  m_pending.Put({ std::move(aCall), std::move(aDone), aTimeout });
 }
 
 kj::Promise<void>
 QueueGateway::Loop()
 {
   return m_pending.Take().then([this](std::vector<Pending> aPending) {
-    for (Pending& one : aPending) {
-      const jobs::CallKind kind = one.m_call.m_kind;
-      const std::string path = one.m_call.m_path;
-      m_tasks.add(m_leader.Call(std::move(one.m_call), one.m_within)
-                    .then([kind, path, done = std::move(one.m_done)](
+    for (Pending& pending : aPending) {
+      const jobs::CallKind kind = pending.m_call.m_kind;
+      const std::string path = pending.m_call.m_path;
+      m_tasks.add(m_leader.Call(std::move(pending.m_call), pending.m_timeout)
+                    .then([kind, path, done = std::move(pending.m_done)](
                             const jobs::QueueReply& aReply) {
                       if (aReply.m_outcome != jobs::QueueOutcome::kOk) {
                         LogLine(Level::kInfo, "caller's call not served")
--- a/src/entry/responses.cpp
+++ b/src/entry/responses.cpp
@@ -101,8 +101,8 @@
     response.m_headers.push_back({ header.m_name, header.m_value });
   }
   response.m_body = aAnswer.m_body;
-  // Half an answer must not pass for the whole; the caller learns that its
-  // request was run, and that the body is gone.
+  // An incomplete answer must not look complete: the caller is told that its
+  // request was run and that the body was not kept.
   if (aAnswer.m_bodyDropped) {
     response =
       JsonResponse(kGone,
@@ -117,7 +117,7 @@
 {
   outcome::Answer answer;
   answer.m_status = aResponse.m_status;
-  for (const http::Header& header : WithoutOwn(aResponse.m_headers)) {
+  for (const http::Header& header : ForwardableHeaders(aResponse.m_headers)) {
     answer.m_headers.push_back({ header.m_name, header.m_value });
   }
   answer.m_bodyDropped = aResponse.m_body.size() > aKeptBytes;
--- a/src/entry/responses.h
+++ b/src/entry/responses.h
@@ -25,18 +25,20 @@
 
 http::Response JsonResponse(std::uint32_t aStatus, const nlohmann::json& aBody);
 
-/** 400 that names the field and what is allowed. */
+/** Returns a 400 response that names the field and its allowed values. */
 http::Response FieldError(const std::string& aField,
                           const std::string& aAllowed);
 
-/** Seconds, rounded up, as Retry-After wants them; exact milliseconds beside
- * it for callers that know us. */
+/** Adds Retry-After, in seconds rounded up, and Bamboostile-Retry-After-Ms with
+ * the exact milliseconds, for callers that read it. */
 void AddRetryAfter(http::Response& aResponse, Duration aAfter);
 
 std::uint32_t StatusOf(const request::Conclude& aConclude);
 
-/** An answer on record as a response, and the other way round. */
+/** Converts a recorded answer to a response. */
 http::Response FromAnswer(const outcome::Answer& aAnswer);
+/** Converts a response to an answer to record; drops a body of more than
+ * aKeptBytes. */
 outcome::Answer ToAnswer(const http::Response& aResponse,
                          std::size_t aKeptBytes);
 
