--- a/tests/platform/decode_test.cpp
+++ b/tests/platform/decode_test.cpp
@@ -6,18 +6,18 @@
 
 TEST_GROUP(PlatformDecode)
 {
-  platform::BadField m_bad;
+  platform::BadField m_invalid;
 
   void CheckBadJob(const char* aField, const std::string& aBody)
   {
-    CHECK(!platform::ReadJob(aBody, m_bad));
-    CHECK_STRING(aField, m_bad.m_field);
+    CHECK(!platform::ReadJob(aBody, m_invalid));
+    CHECK_STRING(aField, m_invalid.m_field);
   }
 
   void CheckBadRoutes(const char* aField, const std::string& aBody)
   {
-    CHECK(!platform::ReadRoutes(aBody, m_bad));
-    CHECK_STRING(aField, m_bad.m_field);
+    CHECK(!platform::ReadRoutes(aBody, m_invalid));
+    CHECK_STRING(aField, m_invalid.m_field);
   }
 
   static std::string Routes(const std::string& aRoute)
@@ -33,7 +33,7 @@
     R"({"spec":"text","steps":[{"count":4,"cpu":500,"mem_mb":256,
         "estimate_ms":900,"affinity":"r1-3"},{"count":20,"cpu":2000,
         "depends_on":[0],"saves_progress":true,"miss_allowed":1}]})",
-    m_bad);
+    m_invalid);
   CHECK(spec.has_value());
   CHECK_STRING("text", spec->m_payload);
   LONGS_EQUAL(2, spec->m_steps.size());
@@ -83,7 +83,7 @@
         "labels":["a","r1-3"],"remaining_ms":1200,"born":1791418000123,
         "active":[["5c0e.7.1.17",2,"saved",41,12.6]],
         "finished":[[58,"5c0e.0.1.9",1,"lapsed",""]]})",
-    m_bad);
+    m_invalid);
   CHECK(report.has_value());
   CHECK_STRING("m-1", report->m_instance.Get());
   CHECK_STRING("r1-3", report->m_rack.Get());
@@ -101,8 +101,8 @@
 TEST(PlatformDecode, BadReports_NameTheField)
 {
   const auto rejects = [&](const char* aField, const char* aBody) {
-    CHECK(!platform::ReadReport("i-1", aBody, m_bad));
-    CHECK_STRING(aField, m_bad.m_field);
+    CHECK(!platform::ReadReport("i-1", aBody, m_invalid));
+    CHECK_STRING(aField, m_invalid.m_field);
   };
   rejects("service", R"({"state":"ready"})");
   rejects("state", R"({"service":"s","state":"asleep"})");
@@ -121,13 +121,15 @@
               "finished":[[1,"a.0.0.0",1,"vanished",""]]})");
 }
 
-TEST(PlatformDecode, Leave_NamesTheLifeOrTheField)
+TEST(PlatformDecode, Leave_NamesIncarnationOrInvalidField)
 {
-  const auto life = platform::ReadLeave("i-1", R"({"born":5000000000})", m_bad);
-  CHECK(life == (WorkerLife{ WorkerId{ "i-1" }, WallTime{ 5'000'000'000 } }));
-  CHECK(!platform::ReadLeave("i-1", "", m_bad)->SaysStart());
-  CHECK(!platform::ReadLeave("i-1", R"({"born":"x"})", m_bad));
-  CHECK_STRING("born", m_bad.m_field);
+  const auto incarnation =
+    platform::ReadLeave("i-1", R"({"born":5000000000})", m_invalid);
+  CHECK(incarnation ==
+        (WorkerLife{ WorkerId{ "i-1" }, WallTime{ 5'000'000'000 } }));
+  CHECK(!platform::ReadLeave("i-1", "", m_invalid)->SaysStart());
+  CHECK(!platform::ReadLeave("i-1", R"({"born":"x"})", m_invalid));
+  CHECK_STRING("born", m_invalid.m_field);
 }
 
 TEST(PlatformDecode, AnswersToMaintenance_AreToldApart)
--- a/tests/platform/instances_client_test.cpp
+++ b/tests/platform/instances_client_test.cpp
@@ -10,14 +10,15 @@
 using test::RawServer;
 using test::ReadHead;
 
-/** A platform that answers the list and lets each order fail in one way. */
+/** A server that answers the platform's list call and makes each order fail in
+ * a given way. */
 TEST_GROUP(InstancesClient)
 {
-  /** Returns whether the connection stays open. */
+  /** Handles an order; returns whether the connection stays open. */
   using OnOrder = std::function<bool(int aSocket)>;
 
-  /** The list is read first, so that its connection is kept open. */
-  InstanceAnswer Order(const OnOrder& aOnOrder, bool aIsMove)
+  /** Reads the list first, so that the order uses an open connection. */
+  InstanceAnswer SendOrder(const OnOrder& aOnOrder, bool aIsMove)
   {
     RawServer server([&](int aSocket, int) {
       for (std::string head = ReadHead(aSocket); !head.empty();
@@ -59,12 +60,13 @@
                   "\r\n\r\n" + aBody);
   }
 
-  /** Of an order that was obeyed, and of which this is all that is heard. */
+  /** Checks that an order, which may have been executed, is sent once and gets
+   * the answer kUnclear if the platform reacts as in aOnOrder. */
   void CheckUnclear(const OnOrder& aOnOrder)
   {
     for (const bool isMove : { false, true }) {
       m_orders = 0;
-      CHECK(Order(aOnOrder, isMove) == InstanceAnswer::kUnclear);
+      CHECK(SendOrder(aOnOrder, isMove) == InstanceAnswer::kUnclear);
       LONGS_EQUAL(1, m_orders);
     }
   }
@@ -72,8 +74,9 @@
   std::atomic<int> m_orders = 0;
 };
 
-// Guards against a second sending by the HTTP library, whose answer, busy,
-// would pass for a refusal of the only one.
+// Guards against a resend by the HTTP library on a closed connection: its
+// answer "busy" would be taken for a refusal of the first order, which was
+// executed.
 TEST(InstancesClient, KeptConnectionDiesAfterOrder_IsUnclearAndSentOnce)
 {
   CheckUnclear([](int) { return false; });
--- a/tests/platform/mutated_test.cpp
+++ b/tests/platform/mutated_test.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/** Of mutated inputs in a run of the tests; BAMBOOSTILE_MUTATIONS asks for
- * more. */
-constexpr int kInputs = 10'000;
+/** Minimum number of mutated inputs per test run; the environment variable
+ * BAMBOOSTILE_MUTATIONS sets a larger number. */
+constexpr int kMinInputs = 10'000;
 constexpr std::uint64_t kSeed = 20'261;
 
-/** One sound body of each message that others write. */
-const std::array<std::string, 6> kSound{
+/** One valid body of each kind of message that other programs send. */
+const std::array<std::string, 6> kValidBodies{
   R"({"spec":"t","steps":[{"count":4,"cpu":500,"mem_mb":256,"gpu":1,)"
   R"("estimate_ms":900,"affinity":"r1-3","image":"i","gang":true},)"
   R"({"count":2,"depends_on":[0],"long_running":true,"miss_allowed":1}],)"
@@ -51,7 +51,8 @@
   "\"up\"",
 };
 
-/** Flips, cuts, repeats, or puts another value in place of some bytes. */
+/** Applies one to four changes, each of which overwrites, removes, duplicates
+ * or replaces some bytes. */
 std::string
 Mutate(std::string aBody, std::mt19937_64& aRandom)
 {
@@ -77,13 +78,13 @@
   return aBody;
 }
 
-/** A body is either read, or the field that is wrong with it is named. */
+/** Tells whether a body is read or its invalid field is named. */
 template<typename Read>
 bool
 IsReadOrNamed(const Read& aRead)
 {
-  platform::BadField bad;
-  return aRead(bad).has_value() || !bad.m_field.empty();
+  platform::BadField invalid;
+  return aRead(invalid).has_value() || !invalid.m_field.empty();
 }
 
 bool
@@ -91,41 +92,44 @@
 {
   using platform::BadField;
   platform::ReadInstanceAnswer(409, aBody);
-  return IsReadOrNamed(
-           [&](BadField& aBad) { return platform::ReadJob(aBody, aBad); }) &&
-         IsReadOrNamed(
-           [&](BadField& aBad) { return platform::ReadRoutes(aBody, aBad); }) &&
-         IsReadOrNamed([&](BadField& aBad) {
-           return platform::ReadReport("w", aBody, aBad);
+  return IsReadOrNamed([&](BadField& aInvalid) {
+           return platform::ReadJob(aBody, aInvalid);
          }) &&
-         IsReadOrNamed(
-           [&](BadField& aBad) { return platform::ReadWave(aBody, aBad); }) &&
-         IsReadOrNamed([&](BadField& aBad) {
-           return platform::ReadInstances(aBody, aBad);
+         IsReadOrNamed([&](BadField& aInvalid) {
+           return platform::ReadRoutes(aBody, aInvalid);
+         }) &&
+         IsReadOrNamed([&](BadField& aInvalid) {
+           return platform::ReadReport("w", aBody, aInvalid);
+         }) &&
+         IsReadOrNamed([&](BadField& aInvalid) {
+           return platform::ReadWave(aBody, aInvalid);
+         }) &&
+         IsReadOrNamed([&](BadField& aInvalid) {
+           return platform::ReadInstances(aBody, aInvalid);
          });
 }
 
 int
 InputCount()
 {
-  const char* asked = std::getenv("BAMBOOSTILE_MUTATIONS");
-  return asked == nullptr ? kInputs : std::max(kInputs, std::atoi(asked));
+  const char* requested = std::getenv("BAMBOOSTILE_MUTATIONS");
+  return requested == nullptr ? kMinInputs
+                              : std::max(kMinInputs, std::atoi(requested));
 }
 
 } // namespace
 
 TEST_GROUP(MutatedMessages){};
 
-// Another writer's bytes arrive where ours are expected. Whatever they are, no
-// reader throws on a thread that has nobody to catch it, which would end the
-// process.
+// Guards against a reader that throws on unexpected bytes from another program:
+// the thread has no handler, so the exception would end the process.
 TEST(MutatedMessages, AnyBytes_AreReadOrTheirFieldIsNamed)
 {
   std::mt19937_64 random(kSeed);
   const int count = InputCount();
   for (int i = 0; i < count; ++i) {
-    const std::string body =
-      Mutate(kSound[static_cast<std::size_t>(i) % kSound.size()], random);
+    const std::string body = Mutate(
+      kValidBodies[static_cast<std::size_t>(i) % kValidBodies.size()], random);
     CHECK_TEXT(IsHandled(body), body.c_str());
   }
 }
@@ -136,22 +140,21 @@
         placement::InstanceAnswer::kUnclear);
 }
 
-// One entry of the platform's list comes from another writer. It names no
-// instance to use; without the others no instance would come out of standby
-// while that entry is there.
-TEST(MutatedMessages, UnreadableEntryInList_OthersHold)
+// Guards against one unreadable entry, written by another program, that makes
+// the whole list invalid: no instance would leave standby while it is there.
+TEST(MutatedMessages, UnreadableEntryInList_OthersAreRead)
 {
-  platform::BadField bad;
+  platform::BadField invalid;
   const auto page = platform::ReadInstances(
     R"({"machines":[{"machine":7,"pool":"p","state":"up"},"text",
         {"machine":"a","pool":"p","state":"sleeping"},{"pool":"p"},
         {"machine":"b","pool":"p","state":"up"},
         {"machine":"c","pool":["p"],"state":"up"}]})",
-    bad);
+    invalid);
   CHECK(page.has_value());
   LONGS_EQUAL(2, page->m_instances.size());
   CHECK(page->m_instances[0].m_state != placement::InstanceState::kUp);
   CHECK_STRING("b", page->m_instances[1].m_id.Get());
   CHECK(page->m_instances[1].m_state == placement::InstanceState::kUp);
-  LONGS_EQUAL(4, page->m_unreadable);
+  LONGS_EQUAL(4, page->m_unreadableCount);
 }
