--- a/tools/bamboostile/commands.h
+++ b/tools/bamboostile/commands.h
@@ -7,34 +7,35 @@
 
 namespace bamboostile::cli {
 
-/** Options that every subcommand takes. */
-struct Common
+/** Options that every command accepts. */
+struct GlobalOptions
 {
   std::vector<std::string> m_control;
-  unsigned m_patienceMs = 10'000;
+  unsigned m_timeoutMs = 10'000;
   bool m_json = false;
   std::string m_operator;
   std::string m_operationId;
-  std::optional<std::uint64_t> m_expected;
+  std::optional<std::uint64_t> m_expectedRevision;
 };
 
-/** The words after the subcommand, options included. */
-using Words = std::vector<std::string>;
-
-ExitCode RunPool(const Common& aCommon, const Words& aWords);
-ExitCode RunService(const Common& aCommon, const Words& aWords);
-ExitCode RunInstance(const Common& aCommon, const Words& aWords);
-ExitCode RunWave(const Common& aCommon, const Words& aWords);
-ExitCode RunConfig(const Common& aCommon, const Words& aWords);
-ExitCode RunControl(const Common& aCommon, const Words& aWords);
-ExitCode RunJob(const Common& aCommon, const Words& aWords);
-ExitCode RunQueue(const Common& aCommon, const Words& aWords);
-ExitCode RunStatus(const Common& aCommon, const Words& aWords);
-ExitCode RunRequest(const Common& aCommon, const Words& aWords);
-ExitCode RunApply(const Common& aCommon, const Words& aWords);
-ExitCode RunDiff(const Common& aCommon, const Words& aWords);
-
-/** Says on standard error what was wrong with the input. */
-ExitCode BadInput(const std::string& aWhat);
+/** The arguments after the command name, including options. */
+using Arguments = std::vector<std::string>;
+
+ExitCode RunPool(const GlobalOptions& aOptions, const Arguments& aArguments);
+ExitCode RunService(const GlobalOptions& aOptions, const Arguments& aArguments);
+ExitCode RunInstance(const GlobalOptions& aOptions,
+                     const Arguments& aArguments);
+ExitCode RunWave(const GlobalOptions& aOptions, const Arguments& aArguments);
+ExitCode RunConfig(const GlobalOptions& aOptions, const Arguments& aArguments);
+ExitCode RunControl(const GlobalOptions& aOptions, const Arguments& aArguments);
+ExitCode RunJob(const GlobalOptions& aOptions, const Arguments& aArguments);
+ExitCode RunQueue(const GlobalOptions& aOptions, const Arguments& aArguments);
+ExitCode RunStatus(const GlobalOptions& aOptions, const Arguments& aArguments);
+ExitCode RunRequest(const GlobalOptions& aOptions, const Arguments& aArguments);
+ExitCode RunApply(const GlobalOptions& aOptions, const Arguments& aArguments);
+ExitCode RunDiff(const GlobalOptions& aOptions, const Arguments& aArguments);
+
+/** Prints the message to standard error and returns kBadInput. */
+ExitCode PrintInputError(const std::string& aMessage);
 
 } // namespace bamboostile::cli
--- a/tools/bamboostile/file_commands.cpp
+++ b/tools/bamboostile/file_commands.cpp
@@ -16,15 +16,16 @@
 
 namespace {
 
-/** Reads a file of calls; on failure says which call and which field. */
+/** Parses a file of operator calls. On failure, aError names the file and what
+ * is wrong with it. */
 bool
 ReadCalls(const std::string& aFile,
           capnp::MallocMessageBuilder& aMessage,
-          std::string& aProblem)
+          std::string& aError)
 {
   std::ifstream in(aFile);
   if (!in) {
-    aProblem = aFile + ": cannot be read";
+    aError = aFile + ": cannot be read";
     return false;
   }
   std::ostringstream text;
@@ -36,14 +37,14 @@
                  aMessage.initRoot<schema::CallList>());
   });
   KJ_IF_MAYBE (exception, failure) {
-    aProblem = aFile + ": " + exception->getDescription().cStr();
+    aError = aFile + ": " + exception->getDescription().cStr();
     return false;
   }
   return true;
 }
 
-/** The same call of the same file, meant for the same state, keeps its id:
- * running the file again after a lost answer does nothing twice. */
+/** Derives the operation id from the call and the revision it expects, so that
+ * applying the file again after a lost answer runs no call twice. */
 std::string
 DerivedOperationId(schema::OperatorCall::Reader aCall, std::uint64_t aRevision)
 {
@@ -55,78 +56,78 @@
 } // namespace
 
 ExitCode
-RunDiff(const Common& aCommon, const Words& aWords)
+RunDiff(const GlobalOptions& aOptions, const Arguments& aArguments)
 {
   capnp::MallocMessageBuilder message;
-  std::string problem;
-  if (aWords.size() != 1) {
-    return BadInput("diff: one FILE is needed");
+  std::string error;
+  if (aArguments.size() != 1) {
+    return PrintInputError("diff: one FILE is needed");
   }
-  if (!ReadCalls(aWords.front(), message, problem)) {
-    return BadInput(problem);
+  if (!ReadCalls(aArguments.front(), message, error)) {
+    return PrintInputError(error);
   }
   Reply failure;
-  const auto status = FetchStatus(aCommon, failure);
+  const auto status = FetchStatus(aOptions, failure);
   if (!status) {
-    Print(aCommon, "", "-", failure);
+    PrintReply(aOptions, "", "-", failure);
     return failure.m_exit;
   }
-  Json shown = Json::array();
+  Json diffs = Json::array();
   for (auto call : message.getRoot<schema::CallList>().getCalls()) {
-    const Review review = ReviewCall(call.asReader(), *status);
-    shown.push_back({ { "object", review.m_object },
-                      { "revision", review.m_revision },
-                      { "holds", review.m_holds },
-                      { "changes", review.m_changes } });
-    if (!aCommon.m_json) {
-      std::cout << (review.m_holds ? "  = " : "  ~ ") << review.m_object
+    const CallDiff diff = DiffCall(call.asReader(), *status);
+    diffs.push_back({ { "object", diff.m_object },
+                      { "revision", diff.m_revision },
+                      { "holds", diff.m_isApplied },
+                      { "changes", diff.m_changes } });
+    if (!aOptions.m_json) {
+      std::cout << (diff.m_isApplied ? "  = " : "  ~ ") << diff.m_object
                 << "\n";
-      for (const std::string& change : review.m_changes) {
+      for (const std::string& change : diff.m_changes) {
         std::cout << "      " << change << "\n";
       }
     }
   }
-  if (aCommon.m_json) {
-    std::cout << shown.dump() << "\n";
+  if (aOptions.m_json) {
+    std::cout << diffs.dump() << "\n";
   }
   return ExitCode::kDone;
 }
 
 ExitCode
-RunApply(const Common& aCommon, const Words& aWords)
+RunApply(const GlobalOptions& aOptions, const Arguments& aArguments)
 {
   capnp::MallocMessageBuilder message;
-  std::string problem;
-  if (aWords.size() != 1) {
-    return BadInput("apply: one FILE is needed");
+  std::string error;
+  if (aArguments.size() != 1) {
+    return PrintInputError("apply: one FILE is needed");
   }
-  if (!ReadCalls(aWords.front(), message, problem)) {
-    return BadInput(problem);
+  if (!ReadCalls(aArguments.front(), message, error)) {
+    return PrintInputError(error);
   }
-  Session session(aCommon.m_control, aCommon.m_patienceMs);
+  Session session(aOptions.m_control, aOptions.m_timeoutMs);
   for (auto call : message.getRoot<schema::CallList>().getCalls()) {
     Reply failure;
     const auto status = session.Status(failure);
     if (!status) {
-      Print(aCommon, "", "-", failure);
+      PrintReply(aOptions, "", "-", failure);
       return failure.m_exit;
     }
-    const Review review = ReviewCall(call.asReader(), *status);
-    if (review.m_holds) {
+    const CallDiff diff = DiffCall(call.asReader(), *status);
+    if (diff.m_isApplied) {
       continue;
     }
     if (!call.hasOperator()) {
-      call.setOperator(aCommon.m_operator);
+      call.setOperator(aOptions.m_operator);
     }
     if (call.getExpectedRevision() == 0) {
-      call.setExpectedRevision(review.m_revision);
+      call.setExpectedRevision(diff.m_revision);
     }
     if (!call.hasOperationId()) {
       call.setOperationId(
         DerivedOperationId(call.asReader(), call.getExpectedRevision()));
     }
     const Reply reply = session.Submit(call.asReader());
-    Print(aCommon, review.m_object, call.getOperationId().cStr(), reply);
+    PrintReply(aOptions, diff.m_object, call.getOperationId().cStr(), reply);
     if (reply.m_exit != ExitCode::kDone) {
       return reply.m_exit;
     }
--- a/tools/bamboostile/job_commands.cpp
+++ b/tools/bamboostile/job_commands.cpp
@@ -17,9 +17,9 @@
 using Json = nlohmann::json;
 
 std::optional<std::string>
-ReadFile(const std::string& aName)
+ReadFile(const std::string& aPath)
 {
-  std::ifstream in(aName);
+  std::ifstream in(aPath);
   if (!in) {
     return std::nullopt;
   }
@@ -41,20 +41,20 @@
 }
 
 ExitCode
-List(const Common& aCommon)
+List(const GlobalOptions& aOptions)
 {
-  Session session(aCommon.m_control, aCommon.m_patienceMs);
+  Session session(aOptions.m_control, aOptions.m_timeoutMs);
   Reply reply;
   const auto table = session.Queues(reply);
   if (!table) {
-    Print(aCommon, "queue list", "-", reply);
+    PrintReply(aOptions, "queue list", "-", reply);
     return reply.m_exit;
   }
   Json queues = Json::array();
   for (const fleet::QueueRoute& route : table->m_routes) {
     queues.push_back(ToJson(route));
   }
-  if (aCommon.m_json) {
+  if (aOptions.m_json) {
     std::cout << Json{
       { "version", table->m_version }, { "queues", queues }
     }.dump() << "\n";
@@ -71,11 +71,11 @@
 }
 
 ExitCode
-Apply(const Common& aCommon, const std::string& aFile)
+Apply(const GlobalOptions& aOptions, const std::string& aFile)
 {
   const auto text = ReadFile(aFile);
   if (!text) {
-    return BadInput(aFile + ": it cannot be read");
+    return PrintInputError(aFile + ": cannot be read");
   }
   capnp::MallocMessageBuilder message;
   auto table = message.initRoot<schema::QueueTable>();
@@ -84,30 +84,30 @@
   const auto failure = kj::runCatchingExceptions(
     [&]() { codec.decode(kj::StringPtr(text->c_str()), table); });
   KJ_IF_MAYBE (exception, failure) {
-    return BadInput(aFile + ": " + exception->getDescription().cStr());
+    return PrintInputError(aFile + ": " + exception->getDescription().cStr());
   }
-  const fleet::RouteFinding finding =
+  const fleet::RouteFinding validation =
     fleet::Check(wire::Read(table.asReader()));
-  if (finding.m_problem != fleet::RouteProblem::kNone) {
-    return BadInput(aFile + ": " + finding.m_name + ": " +
-                    fleet::Describe(finding.m_problem));
+  if (validation.m_problem != fleet::RouteProblem::kNone) {
+    return PrintInputError(aFile + ": " + validation.m_name + ": " +
+                           fleet::Describe(validation.m_problem));
   }
-  Session session(aCommon.m_control, aCommon.m_patienceMs);
+  Session session(aOptions.m_control, aOptions.m_timeoutMs);
   const Reply reply = session.ReplaceQueues(table);
-  Print(aCommon, "queue apply " + aFile, "-", reply);
+  PrintReply(aOptions, "queue apply " + aFile, "-", reply);
   return reply.m_exit;
 }
 
 ExitCode
-Call(const Common& aCommon,
-     const std::string& aWhat,
-     const jobs::QueueCall& aCall)
+SendQueueCall(const GlobalOptions& aOptions,
+              const std::string& aLabel,
+              const jobs::QueueCall& aCall)
 {
-  Session session(aCommon.m_control, aCommon.m_patienceMs);
+  Session session(aOptions.m_control, aOptions.m_timeoutMs);
   Reply reply;
   const auto answer = session.CallQueue(aCall, reply);
   if (!answer || answer->m_outcome != jobs::QueueOutcome::kOk) {
-    Print(aCommon, aWhat, "-", reply);
+    PrintReply(aOptions, aLabel, "-", reply);
     return reply.m_exit;
   }
   Json json{ { "outcome", jobs::Describe(answer->m_outcome) } };
@@ -119,10 +119,10 @@
       json["reason"] = answer->m_detail;
     }
   }
-  if (aCommon.m_json) {
+  if (aOptions.m_json) {
     std::cout << json.dump() << "\n";
   } else {
-    std::cout << aWhat;
+    std::cout << aLabel;
     for (const char* key : { "state", "reason", "pending" }) {
       if (json.contains(key)) {
         std::cout << " " << key << "=" << json.at(key);
@@ -136,55 +136,55 @@
 } // namespace
 
 ExitCode
-RunQueue(const Common& aCommon, const Words& aWords)
+RunQueue(const GlobalOptions& aOptions, const Arguments& aArguments)
 {
-  if (aWords.size() == 1 && aWords[0] == "list") {
-    return List(aCommon);
+  if (aArguments.size() == 1 && aArguments[0] == "list") {
+    return List(aOptions);
   }
-  if (aWords.size() == 2 && aWords[0] == "apply") {
-    return Apply(aCommon, aWords[1]);
+  if (aArguments.size() == 2 && aArguments[0] == "apply") {
+    return Apply(aOptions, aArguments[1]);
   }
-  if (aWords.size() == 2 && aWords[0] == "show") {
+  if (aArguments.size() == 2 && aArguments[0] == "show") {
     jobs::QueueCall call;
-    call.m_path = "/" + aWords[1] + "/";
-    return Call(aCommon, "queue " + aWords[1], call);
+    call.m_path = "/" + aArguments[1] + "/";
+    return SendQueueCall(aOptions, "queue " + aArguments[1], call);
   }
-  return BadInput("queue: list, show NAME or apply FILE");
+  return PrintInputError("queue: list, show NAME or apply FILE");
 }
 
 ExitCode
-RunJob(const Common& aCommon, const Words& aWords)
+RunJob(const GlobalOptions& aOptions, const Arguments& aArguments)
 {
-  constexpr std::size_t kShort = 3;
-  constexpr std::size_t kWithFile = 5;
-  if (aWords.size() < kShort) {
-    return BadInput("job: submit, show or cancel, then QUEUE and ID");
+  constexpr std::size_t kArgumentCount = 3;
+  constexpr std::size_t kArgumentCountWithFile = 5;
+  if (aArguments.size() < kArgumentCount) {
+    return PrintInputError("job: submit, show or cancel, then QUEUE and ID");
   }
-  const std::string& action = aWords[0];
+  const std::string& action = aArguments[0];
   jobs::QueueCall call;
-  call.m_path = "/" + aWords[1] + "/" + aWords[2];
-  if (action == "submit" && aWords.size() == kWithFile &&
-      aWords[3] == "--file") {
-    const auto text = ReadFile(aWords[4]);
+  call.m_path = "/" + aArguments[1] + "/" + aArguments[2];
+  if (action == "submit" && aArguments.size() == kArgumentCountWithFile &&
+      aArguments[3] == "--file") {
+    const auto text = ReadFile(aArguments[4]);
     if (!text) {
-      return BadInput("--file: " + aWords[4] + " cannot be read");
+      return PrintInputError("--file: " + aArguments[4] + " cannot be read");
     }
-    json::BadField bad;
-    auto spec = wire::ReadJobSpec(*text, bad);
+    json::BadField invalidField;
+    auto spec = wire::ReadJobSpec(*text, invalidField);
     if (!spec) {
-      return BadInput(aWords[4] + ": " + bad.m_field +
-                      ": allowed: " + bad.m_allowed);
+      return PrintInputError(aArguments[4] + ": " + invalidField.m_field +
+                             ": allowed: " + invalidField.m_allowed);
     }
     call.m_kind = jobs::CallKind::kSubmit;
     call.m_spec = std::move(*spec);
   } else if (action == "submit") {
-    return BadInput("--file: the job's description is missing");
-  } else if (action == "cancel" && aWords.size() == kShort) {
+    return PrintInputError("--file: the job specification is missing");
+  } else if (action == "cancel" && aArguments.size() == kArgumentCount) {
     call.m_kind = jobs::CallKind::kCancel;
-  } else if (action != "show" || aWords.size() != kShort) {
-    return BadInput("job: submit, show or cancel, then QUEUE and ID");
+  } else if (action != "show" || aArguments.size() != kArgumentCount) {
+    return PrintInputError("job: submit, show or cancel, then QUEUE and ID");
   }
-  return Call(aCommon, "job " + aWords[2] + " " + action, call);
+  return SendQueueCall(aOptions, "job " + aArguments[2] + " " + action, call);
 }
 
 } // namespace bamboostile::cli
--- a/tools/bamboostile/main.cpp
+++ b/tools/bamboostile/main.cpp
@@ -12,11 +12,11 @@
 namespace po = boost::program_options;
 using namespace bamboostile::cli;
 
-using Run = ExitCode (*)(const Common&, const Words&);
+using CommandHandler = ExitCode (*)(const GlobalOptions&, const Arguments&);
 
 struct Command
 {
-  Run m_run;
+  CommandHandler m_handler;
   const char* m_usage;
 };
 
@@ -59,15 +59,16 @@
         "bamboostile control add 10.0.0.2:7100\n" } },
     { "queue",
       { RunQueue,
-        "queue list | show NAME | apply FILE\n  Queues of jobs; apply puts the "
-        "JSON table of FILE in force, if its version is the\n  highest.\n  "
+        "queue list | show NAME | apply FILE\n  Job queues; apply activates "
+        "the JSON table in FILE if its version is the highest.\n  "
         "Example: bamboostile queue apply examples/queues.json\n" } },
     { "job",
       { RunJob,
         "job submit QUEUE ID --file SPEC | show QUEUE ID | cancel QUEUE ID\n  "
-        "SPEC is a JSON job, as in docs/INTERFACE.md; the same ID again is "
-        "the same job.\n  Example: bamboostile job submit letters 7f3a91c2 "
-        "--file examples/job.json\n" } },
+        "SPEC is a JSON job, as in docs/INTERFACE.md; one ID is one job, "
+        "however "
+        "often it is submitted.\n  Example: bamboostile job submit letters "
+        "7f3a91c2 --file examples/job.json\n" } },
     { "request",
       { RunRequest,
         "request METHOD TARGET --entry IP:PORT [--key ID] [--timeout-ms N] "
@@ -77,7 +78,7 @@
     { "apply",
       { RunApply,
         "apply FILE\n  Carries out a reviewed JSON file of operator calls; "
-        "calls whose result already holds are left out.\n  Example: "
+        "calls whose result is already in place are skipped.\n  Example: "
         "bamboostile apply examples/corrib.json\n" } },
     { "diff",
       { RunDiff,
@@ -88,7 +89,7 @@
 }
 
 po::options_description
-CommonOptions()
+DescribeGlobalOptions()
 {
   const char* control = std::getenv("BAMBOOSTILE_CONTROL");
   const char* user = std::getenv("USER");
@@ -97,20 +98,20 @@
     "control",
     po::value<std::string>()->default_value(
       control != nullptr ? control : "127.0.0.1:7101"),
-    "control replicas, IP:PORT with commas between; also BAMBOOSTILE_CONTROL")(
+    "control replicas, comma-separated IP:PORT; also BAMBOOSTILE_CONTROL")(
     "json", "print JSON")("operator",
                           po::value<std::string>()->default_value(
                             user != nullptr ? user : "operator"),
-                          "who is named to others as the author")(
+                          "operator recorded as the author of the change")(
     "operation-id",
     po::value<std::string>(),
-    "id of the call; the same id again gets the first answer")(
+    "id of the call; repeating it returns the first answer")(
     "expect",
     po::value<std::uint64_t>(),
-    "revision the object must have; without it, the present one")(
+    "revision the object must have; default: the current one")(
     "patience-ms",
     po::value<unsigned>()->default_value(10'000),
-    "how long to look for a leader");
+    "how long to retry until a leader answers");
   return options;
 }
 
@@ -122,9 +123,9 @@
     aOut << "  " << command.m_usage;
   }
   aOut << "\n"
-       << CommonOptions()
+       << DescribeGlobalOptions()
        << "\nExit codes: 0 done, 1 refused with a reason, 2 bad input, 3 "
-          "outcome unknown\n(send the call again with the operation id that "
+          "outcome unknown\n(repeat the call with the operation id that "
           "is printed).\n";
 }
 
@@ -142,21 +143,21 @@
   return addresses;
 }
 
-Common
-ReadCommon(const po::variables_map& aValues)
+GlobalOptions
+ReadGlobalOptions(const po::variables_map& aValues)
 {
-  Common common;
-  common.m_control = SplitAddresses(aValues["control"].as<std::string>());
-  common.m_patienceMs = aValues["patience-ms"].as<unsigned>();
-  common.m_json = aValues.count("json") > 0;
-  common.m_operator = aValues["operator"].as<std::string>();
+  GlobalOptions options;
+  options.m_control = SplitAddresses(aValues["control"].as<std::string>());
+  options.m_timeoutMs = aValues["patience-ms"].as<unsigned>();
+  options.m_json = aValues.count("json") > 0;
+  options.m_operator = aValues["operator"].as<std::string>();
   if (aValues.count("operation-id") > 0) {
-    common.m_operationId = aValues["operation-id"].as<std::string>();
+    options.m_operationId = aValues["operation-id"].as<std::string>();
   }
   if (aValues.count("expect") > 0) {
-    common.m_expected = aValues["expect"].as<std::uint64_t>();
+    options.m_expectedRevision = aValues["expect"].as<std::uint64_t>();
   }
-  return common;
+  return options;
 }
 
 ExitCode
@@ -169,32 +170,33 @@
   }
   const auto found = Commands().find(aArguments[1]);
   if (found == Commands().end()) {
-    return BadInput("command: '" + std::string{ aArguments[1] } +
-                    "' is not one of those that --help lists");
+    return PrintInputError("command: '" + std::string{ aArguments[1] } +
+                           "' is unknown; see bamboostile --help");
   }
   po::variables_map values;
-  Words words;
-  // The parsed options keep a pointer to their description.
-  const po::options_description known = CommonOptions();
+  Arguments commandArguments;
+  // The parsed options refer to their description, which must outlive them.
+  const po::options_description description = DescribeGlobalOptions();
   try {
     const auto parsed = po::command_line_parser(aCount - 1, aArguments + 1)
-                          .options(known)
+                          .options(description)
                           .allow_unregistered()
                           .run();
     po::store(parsed, values);
-    words = po::collect_unrecognized(parsed.options, po::include_positional);
+    commandArguments =
+      po::collect_unrecognized(parsed.options, po::include_positional);
   } catch (const po::error& error) {
-    return BadInput(error.what());
+    return PrintInputError(error.what());
   }
   if (values.count("help") > 0) {
-    std::cout << found->second.m_usage << "\n" << CommonOptions();
+    std::cout << found->second.m_usage << "\n" << DescribeGlobalOptions();
     return ExitCode::kDone;
   }
-  const Common common = ReadCommon(values);
-  if (common.m_control.empty()) {
-    return BadInput("--control: no address given");
+  const GlobalOptions options = ReadGlobalOptions(values);
+  if (options.m_control.empty()) {
+    return PrintInputError("--control: no address given");
   }
-  return found->second.m_run(common, words);
+  return found->second.m_handler(options, commandArguments);
 }
 
 } // namespace
--- a/tools/bamboostile/operator_commands.cpp
+++ b/tools/bamboostile/operator_commands.cpp
@@ -17,7 +17,7 @@
 
 namespace po = boost::program_options;
 using Json = nlohmann::json;
-using Call = schema::OperatorCall::Builder;
+using CallBuilder = schema::OperatorCall::Builder;
 
 std::string
 RandomOperationId()
@@ -28,56 +28,59 @@
   return "op-" + HexOf(value);
 }
 
-/** Fills in what the operator left out, sends the call and prints the
- * answer. The revision comes from the present state unless given. */
+/** Submits a call and prints the reply. Without --expect, the expected revision
+ * is the current one of the object. Without --operation-id, the id is random.
+ */
 ExitCode
-Send(const Common& aCommon, const std::function<void(Call)>& aFill)
+SubmitCall(const GlobalOptions& aOptions,
+           const std::function<void(CallBuilder)>& aFillCall)
 {
   capnp::MallocMessageBuilder message;
-  Call call = message.initRoot<schema::OperatorCall>();
-  aFill(call);
-  const std::string operation =
-    aCommon.m_operationId.empty() ? RandomOperationId() : aCommon.m_operationId;
-  call.setOperationId(operation);
-  call.setOperator(aCommon.m_operator);
-  Session session(aCommon.m_control, aCommon.m_patienceMs);
+  CallBuilder call = message.initRoot<schema::OperatorCall>();
+  aFillCall(call);
+  const std::string operationId = aOptions.m_operationId.empty()
+                                    ? RandomOperationId()
+                                    : aOptions.m_operationId;
+  call.setOperationId(operationId);
+  call.setOperator(aOptions.m_operator);
+  Session session(aOptions.m_control, aOptions.m_timeoutMs);
   std::string object;
-  if (aCommon.m_expected) {
-    call.setExpectedRevision(*aCommon.m_expected);
+  if (aOptions.m_expectedRevision) {
+    call.setExpectedRevision(*aOptions.m_expectedRevision);
   } else {
     Reply failure;
     const auto status = session.Status(failure);
     if (!status) {
-      Print(aCommon, "", operation, failure);
+      PrintReply(aOptions, "", operationId, failure);
       return failure.m_exit;
     }
-    const Review review = ReviewCall(call, *status);
-    object = review.m_object;
-    call.setExpectedRevision(review.m_revision);
+    const CallDiff diff = DiffCall(call, *status);
+    object = diff.m_object;
+    call.setExpectedRevision(diff.m_revision);
   }
   const Reply reply = session.Submit(call);
-  Print(aCommon, object, operation, reply);
+  PrintReply(aOptions, object, operationId, reply);
   return reply.m_exit;
 }
 
-/** The words of one subcommand: an action, an id, and named options. */
-struct Parsed
+/** Arguments of one command: an action, an id and named options. */
+struct ParsedArguments
 {
   std::string m_action;
   std::string m_id;
   po::variables_map m_values;
-  std::string m_problem;
+  std::string m_error;
 
-  std::string Text(const char* aName) const
+  std::string StringOption(const char* aName) const
   {
     return m_values.count(aName) > 0 ? m_values[aName].as<std::string>() : "";
   }
 };
 
-Parsed
-Parse(const Words& aWords, const po::options_description& aOptions)
+ParsedArguments
+Parse(const Arguments& aArguments, const po::options_description& aOptions)
 {
-  Parsed parsed;
+  ParsedArguments parsed;
   po::options_description all;
   all.add(aOptions);
   all.add_options()("action",
@@ -85,53 +88,54 @@
   po::positional_options_description positions;
   positions.add("action", 1).add("id", 1);
   try {
-    po::store(
-      po::command_line_parser(aWords).options(all).positional(positions).run(),
-      parsed.m_values);
-    parsed.m_action = parsed.Text("action");
-    parsed.m_id = parsed.Text("id");
+    po::store(po::command_line_parser(aArguments)
+                .options(all)
+                .positional(positions)
+                .run(),
+              parsed.m_values);
+    parsed.m_action = parsed.StringOption("action");
+    parsed.m_id = parsed.StringOption("id");
   } catch (const po::error& error) {
-    parsed.m_problem = error.what();
+    parsed.m_error = error.what();
   }
   return parsed;
 }
 
 ExitCode
-UnknownAction(const char* aCommand, const Parsed& aParsed)
+UnknownAction(const char* aCommand, const ParsedArguments& aParsed)
 {
-  if (!aParsed.m_problem.empty()) {
-    return BadInput(aParsed.m_problem);
+  if (!aParsed.m_error.empty()) {
+    return PrintInputError(aParsed.m_error);
   }
-  return BadInput(std::string{ aCommand } + ": '" + aParsed.m_action +
-                  "' is no action of it, or its id is missing; see "
-                  "bamboostile " +
-                  aCommand + " --help");
+  return PrintInputError(
+    std::string{ aCommand } + ": unknown action '" + aParsed.m_action +
+    "', or its id is missing; see bamboostile " + aCommand + " --help");
 }
 
-/** Prints chosen fields of a list in the status as a table. */
+/** Prints one list of the status as a table of the given fields. */
 ExitCode
-List(const Common& aCommon,
+List(const GlobalOptions& aOptions,
      const char* aList,
      const std::vector<std::string>& aFields)
 {
   Reply failure;
-  const auto status = FetchStatus(aCommon, failure);
+  const auto status = FetchStatus(aOptions, failure);
   if (!status) {
-    Print(aCommon, "", "-", failure);
+    PrintReply(aOptions, "", "-", failure);
     return failure.m_exit;
   }
   const Json& list = status->at(aList);
-  if (aCommon.m_json) {
+  if (aOptions.m_json) {
     std::cout << list.dump() << "\n";
     return ExitCode::kDone;
   }
   std::vector<std::vector<std::string>> rows{ aFields };
-  for (const Json& one : list) {
+  for (const Json& item : list) {
     std::vector<std::string> row;
     for (const std::string& field : aFields) {
-      const Json value = field == "revision" && one.contains("change")
-                           ? one.at("change").at("revision")
-                           : one.value(field, Json{});
+      const Json value = field == "revision" && item.contains("change")
+                           ? item.at("change").at("revision")
+                           : item.value(field, Json{});
       row.push_back(value.is_string() ? value.get<std::string>()
                                       : value.dump());
     }
@@ -154,16 +158,18 @@
 }
 
 std::optional<Json>
-FindInStatus(const Common& aCommon, const char* aList, const std::string& aId)
+FindInStatus(const GlobalOptions& aOptions,
+             const char* aList,
+             const std::string& aId)
 {
   Reply failure;
-  const auto status = FetchStatus(aCommon, failure);
+  const auto status = FetchStatus(aOptions, failure);
   if (!status) {
     return std::nullopt;
   }
-  for (const Json& one : status->at(aList)) {
-    if (one.at("id") == aId) {
-      return one;
+  for (const Json& item : status->at(aList)) {
+    if (item.at("id") == aId) {
+      return item;
     }
   }
   return std::nullopt;
@@ -172,45 +178,46 @@
 } // namespace
 
 ExitCode
-RunPool(const Common& aCommon, const Words& aWords)
+RunPool(const GlobalOptions& aOptions, const Arguments& aArguments)
 {
   po::options_description options;
   options.add_options()("service", po::value<std::string>())(
     "home", po::value<std::string>());
-  const Parsed parsed = Parse(aWords, options);
+  const ParsedArguments parsed = Parse(aArguments, options);
   if (parsed.m_action == "list") {
     return List(
-      aCommon, "pools", { "id", "service", "home", "draining", "revision" });
+      aOptions, "pools", { "id", "service", "home", "draining", "revision" });
   }
-  if (!parsed.m_problem.empty() || parsed.m_id.empty()) {
+  if (!parsed.m_error.empty() || parsed.m_id.empty()) {
     return UnknownAction("pool", parsed);
   }
   if (parsed.m_action == "put") {
-    if (parsed.Text("service").empty()) {
-      return BadInput("--service: it is missing");
+    if (parsed.StringOption("service").empty()) {
+      return PrintInputError("--service: missing");
     }
-    return Send(aCommon, [&](Call aCall) {
+    return SubmitCall(aOptions, [&](CallBuilder aCall) {
       auto put = aCall.initPutPool();
       put.setPool(parsed.m_id);
-      put.setService(parsed.Text("service"));
-      put.setHome(parsed.Text("home"));
+      put.setService(parsed.StringOption("service"));
+      put.setHome(parsed.StringOption("home"));
     });
   }
   if (parsed.m_action == "drain" || parsed.m_action == "resume") {
-    return Send(aCommon, [&](Call aCall) {
+    return SubmitCall(aOptions, [&](CallBuilder aCall) {
       auto drain = aCall.initDrainPool();
       drain.setPool(parsed.m_id);
       drain.setDraining(parsed.m_action == "drain");
     });
   }
   if (parsed.m_action == "remove") {
-    return Send(aCommon, [&](Call aCall) { aCall.setRemovePool(parsed.m_id); });
+    return SubmitCall(
+      aOptions, [&](CallBuilder aCall) { aCall.setRemovePool(parsed.m_id); });
   }
   return UnknownAction("pool", parsed);
 }
 
 ExitCode
-RunService(const Common& aCommon, const Words& aWords)
+RunService(const GlobalOptions& aOptions, const Arguments& aArguments)
 {
   po::options_description options;
   options.add_options()("max-unavailable-percent", po::value<std::uint32_t>())(
@@ -219,9 +226,9 @@
     "retry-budget-percent", po::value<std::uint32_t>())(
     "queue-limit", po::value<std::uint32_t>())("post-is-idempotent",
                                                po::value<bool>());
-  const Parsed parsed = Parse(aWords, options);
+  const ParsedArguments parsed = Parse(aArguments, options);
   if (parsed.m_action == "list") {
-    return List(aCommon,
+    return List(aOptions,
                 "services",
                 { "id",
                   "maxUnavailablePercent",
@@ -232,31 +239,33 @@
                   "postIsIdempotent",
                   "revision" });
   }
-  if (!parsed.m_problem.empty() || parsed.m_id.empty()) {
+  if (!parsed.m_error.empty() || parsed.m_id.empty()) {
     return UnknownAction("service", parsed);
   }
   if (parsed.m_action == "remove") {
-    return Send(aCommon,
-                [&](Call aCall) { aCall.setRemoveService(parsed.m_id); });
+    return SubmitCall(aOptions, [&](CallBuilder aCall) {
+      aCall.setRemoveService(parsed.m_id);
+    });
   }
   if (parsed.m_action != "put") {
     return UnknownAction("service", parsed);
   }
-  // What is not named keeps its present value, not the schema's default.
-  const Json now =
-    FindInStatus(aCommon, "services", parsed.m_id).value_or(Json::object());
+  // Options that are not given keep the service's current values, not the
+  // schema's defaults.
+  const Json current =
+    FindInStatus(aOptions, "services", parsed.m_id).value_or(Json::object());
   const auto number =
     [&](const char* aOption, const char* aField, std::uint32_t aDefault) {
       return parsed.m_values.count(aOption) > 0
                ? parsed.m_values[aOption].as<std::uint32_t>()
-               : now.value(aField, aDefault);
+               : current.value(aField, aDefault);
     };
   const auto flag = [&](const char* aOption, const char* aField) {
     return parsed.m_values.count(aOption) > 0
              ? parsed.m_values[aOption].as<bool>()
-             : now.value(aField, false);
+             : current.value(aField, false);
   };
-  return Send(aCommon, [&](Call aCall) {
+  return SubmitCall(aOptions, [&](CallBuilder aCall) {
     auto put = aCall.initPutService();
     put.setId(parsed.m_id);
     put.setMaxUnavailablePercent(number("max-unavailable-percent",
@@ -274,13 +283,13 @@
 }
 
 ExitCode
-RunInstance(const Common& aCommon, const Words& aWords)
+RunInstance(const GlobalOptions& aOptions, const Arguments& aArguments)
 {
   po::options_description options;
   options.add_options()("pool", po::value<std::string>());
-  const Parsed parsed = Parse(aWords, options);
+  const ParsedArguments parsed = Parse(aArguments, options);
   if (parsed.m_action == "list") {
-    return List(aCommon,
+    return List(aOptions,
                 "instances",
                 { "id",
                   "service",
@@ -294,75 +303,77 @@
                   "empty",
                   "revision" });
   }
-  if (!parsed.m_problem.empty() || parsed.m_id.empty()) {
+  if (!parsed.m_error.empty() || parsed.m_id.empty()) {
     return UnknownAction("instance", parsed);
   }
   if (parsed.m_action == "move") {
-    if (parsed.Text("pool").empty()) {
-      return BadInput("--pool: it is missing");
+    if (parsed.StringOption("pool").empty()) {
+      return PrintInputError("--pool: missing");
     }
-    return Send(aCommon, [&](Call aCall) {
+    return SubmitCall(aOptions, [&](CallBuilder aCall) {
       auto move = aCall.initMoveInstance();
       move.setInstance(parsed.m_id);
-      move.setPool(parsed.Text("pool"));
+      move.setPool(parsed.StringOption("pool"));
     });
   }
   if (parsed.m_action == "cordon" || parsed.m_action == "uncordon") {
-    return Send(aCommon, [&](Call aCall) {
+    return SubmitCall(aOptions, [&](CallBuilder aCall) {
       auto cordon = aCall.initCordonInstance();
       cordon.setInstance(parsed.m_id);
       cordon.setCordoned(parsed.m_action == "cordon");
     });
   }
   if (parsed.m_action == "remove") {
-    return Send(aCommon,
-                [&](Call aCall) { aCall.setRemoveInstance(parsed.m_id); });
+    return SubmitCall(aOptions, [&](CallBuilder aCall) {
+      aCall.setRemoveInstance(parsed.m_id);
+    });
   }
   return UnknownAction("instance", parsed);
 }
 
 ExitCode
-RunWave(const Common& aCommon, const Words& aWords)
+RunWave(const GlobalOptions& aOptions, const Arguments& aArguments)
 {
   po::options_description options;
   options.add_options()("pool", po::value<std::string>());
-  const Parsed parsed = Parse(aWords, options);
+  const ParsedArguments parsed = Parse(aArguments, options);
   if (parsed.m_action == "list") {
-    return List(aCommon,
+    return List(aOptions,
                 "waves",
                 { "id", "pool", "state", "reason", "instances", "revision" });
   }
-  if (parsed.m_action == "plan" && !parsed.Text("pool").empty()) {
+  if (parsed.m_action == "plan" && !parsed.StringOption("pool").empty()) {
     Reply failure;
-    const auto status = FetchStatus(aCommon, failure);
+    const auto status = FetchStatus(aOptions, failure);
     if (!status) {
-      Print(aCommon, "", "-", failure);
+      PrintReply(aOptions, "", "-", failure);
       return failure.m_exit;
     }
     const Json& plans = status->at("wavePlans");
-    if (!plans.contains(parsed.Text("pool"))) {
-      return BadInput("--pool: '" + parsed.Text("pool") + "' does not exist");
+    if (!plans.contains(parsed.StringOption("pool"))) {
+      return PrintInputError("--pool: '" + parsed.StringOption("pool") +
+                             "' does not exist");
     }
-    const Json& plan = plans.at(parsed.Text("pool"));
-    std::cout << plan.dump(aCommon.m_json ? -1 : 2) << "\n";
+    const Json& plan = plans.at(parsed.StringOption("pool"));
+    std::cout << plan.dump(aOptions.m_json ? -1 : 2) << "\n";
     return plan.at("blocked").get<std::string>().empty() ? ExitCode::kDone
                                                          : ExitCode::kRefused;
   }
-  if (!parsed.m_problem.empty() || parsed.m_id.empty()) {
+  if (!parsed.m_error.empty() || parsed.m_id.empty()) {
     return UnknownAction("wave", parsed);
   }
   if (parsed.m_action == "create") {
-    if (parsed.Text("pool").empty()) {
-      return BadInput("--pool: it is missing");
+    if (parsed.StringOption("pool").empty()) {
+      return PrintInputError("--pool: missing");
     }
-    return Send(aCommon, [&](Call aCall) {
+    return SubmitCall(aOptions, [&](CallBuilder aCall) {
       auto create = aCall.initCreateWave();
       create.setWave(parsed.m_id);
-      create.setPool(parsed.Text("pool"));
+      create.setPool(parsed.StringOption("pool"));
     });
   }
   const auto set = [&](schema::WaveTarget aState) {
-    return Send(aCommon, [&](Call aCall) {
+    return SubmitCall(aOptions, [&](CallBuilder aCall) {
       auto change = aCall.initSetWaveState();
       change.setWave(parsed.m_id);
       change.setState(aState);
@@ -381,21 +392,21 @@
 }
 
 ExitCode
-RunConfig(const Common& aCommon, const Words& aWords)
+RunConfig(const GlobalOptions& aOptions, const Arguments& aArguments)
 {
-  const std::string action = aWords.empty() ? "" : aWords.front();
+  const std::string action = aArguments.empty() ? "" : aArguments.front();
   if (action != "show" && action != "status" && action != "set") {
-    return BadInput("config: show, status or set FIELD=VALUE");
+    return PrintInputError("config: show, status or set FIELD=VALUE");
   }
   Reply failure;
-  const auto status = FetchStatus(aCommon, failure);
+  const auto status = FetchStatus(aOptions, failure);
   if (!status) {
-    Print(aCommon, "", "-", failure);
+    PrintReply(aOptions, "", "-", failure);
     return failure.m_exit;
   }
   Json config = status->at("config");
   if (action == "show") {
-    std::cout << config.dump(aCommon.m_json ? -1 : 2) << "\n";
+    std::cout << config.dump(aOptions.m_json ? -1 : 2) << "\n";
     return ExitCode::kDone;
   }
   if (action == "status") {
@@ -403,36 +414,37 @@
     for (const Json& entry : status->at("entries")) {
       versions[entry.at("id").get<std::string>()] = entry.at("revision");
     }
-    const Json shown{ { "accepted", config.at("change").at("revision") },
-                      { "view", status->at("viewRevision") },
-                      { "entries", versions } };
-    std::cout << shown.dump(aCommon.m_json ? -1 : 2) << "\n";
+    const Json summary{ { "accepted", config.at("change").at("revision") },
+                        { "view", status->at("viewRevision") },
+                        { "entries", versions } };
+    std::cout << summary.dump(aOptions.m_json ? -1 : 2) << "\n";
     return ExitCode::kDone;
   }
   config.erase("change");
-  for (std::size_t i = 1; i < aWords.size(); ++i) {
-    const std::size_t equals = aWords[i].find('=');
-    const std::string field = aWords[i].substr(0, equals);
+  for (std::size_t i = 1; i < aArguments.size(); ++i) {
+    const std::size_t equals = aArguments[i].find('=');
+    const std::string field = aArguments[i].substr(0, equals);
     if (equals == std::string::npos || !config.contains(field)) {
-      return BadInput("config: '" + aWords[i] +
-                      "' is not FIELD=VALUE with a field of config show");
+      return PrintInputError(
+        "config: '" + aArguments[i] +
+        "' is not FIELD=VALUE with a field listed by config show");
     }
-    const std::string text = aWords[i].substr(equals + 1);
+    const std::string text = aArguments[i].substr(equals + 1);
     const Json value =
       field == "note" ? Json(text) : Json::parse(text, nullptr, false);
     if (value.type() != config[field].type()) {
-      std::string problem = field;
-      problem.append(": '").append(text).append("' is not like ");
-      return BadInput(problem.append(config[field].dump()));
+      std::string error = field;
+      error.append(": '").append(text).append("' has another type than ");
+      return PrintInputError(error.append(config[field].dump()));
     }
     config[field] = value;
   }
-  Common common = aCommon;
-  if (!common.m_expected) {
-    common.m_expected =
+  GlobalOptions options = aOptions;
+  if (!options.m_expectedRevision) {
+    options.m_expectedRevision =
       status->at("config").at("change").at("revision").get<std::uint64_t>();
   }
-  return Send(common, [&](Call aCall) {
+  return SubmitCall(options, [&](CallBuilder aCall) {
     auto set = aCall.initSetConfig();
     const capnp::JsonCodec codec;
     codec.decode(kj::StringPtr(config.dump().c_str()), set);
@@ -440,15 +452,15 @@
 }
 
 ExitCode
-RunControl(const Common& aCommon, const Words& aWords)
+RunControl(const GlobalOptions& aOptions, const Arguments& aArguments)
 {
-  const Parsed parsed = Parse(aWords, {});
+  const ParsedArguments parsed = Parse(aArguments, {});
   if (parsed.m_action == "list") {
-    return List(aCommon,
+    return List(aOptions,
                 "replicas",
                 { "id", "address", "voter", "leader", "behind", "regressed" });
   }
-  Session session(aCommon.m_control, aCommon.m_patienceMs);
+  Session session(aOptions.m_control, aOptions.m_timeoutMs);
   Reply reply;
   if (parsed.m_action == "init") {
     reply = session.Control(schema::ControlChange::INIT, "", "");
@@ -459,20 +471,20 @@
   } else {
     return UnknownAction("control", parsed);
   }
-  Print(aCommon, "control " + parsed.m_action, "-", reply);
+  PrintReply(aOptions, "control " + parsed.m_action, "-", reply);
   return reply.m_exit;
 }
 
 ExitCode
-RunStatus(const Common& aCommon, const Words& /*aWords*/)
+RunStatus(const GlobalOptions& aOptions, const Arguments& /*aArguments*/)
 {
   Reply failure;
-  const auto status = FetchStatus(aCommon, failure);
+  const auto status = FetchStatus(aOptions, failure);
   if (!status) {
-    Print(aCommon, "", "-", failure);
+    PrintReply(aOptions, "", "-", failure);
     return failure.m_exit;
   }
-  if (aCommon.m_json) {
+  if (aOptions.m_json) {
     std::cout << status->dump() << "\n";
     return ExitCode::kDone;
   }
@@ -480,39 +492,39 @@
             << status->at("commit") << ", snapshot " << status->at("snapshot")
             << ", view " << status->at("viewRevision") << ", outcomes "
             << status->at("outcomes") << "\n";
-  for (const Json& one : status->at("replicas")) {
-    std::cout << "replica " << one.at("id").get<std::string>() << " "
-              << one.at("address").get<std::string>()
-              << (one.at("leader").get<bool>() ? " leader" : "")
-              << (one.at("voter").get<bool>() ? "" : " learner")
-              << (one.at("regressed").get<bool>() ? " regressed" : "")
-              << " behind=" << one.at("behind") << "\n";
-  }
-  for (const Json& one : status->at("entries")) {
-    std::cout << "entry " << one.at("id").get<std::string>() << " zone "
-              << one.at("zone").get<std::string>() << " revision "
-              << one.at("revision") << "\n";
-  }
-  for (const Json& one : status->at("services")) {
+  for (const Json& replica : status->at("replicas")) {
+    std::cout << "replica " << replica.at("id").get<std::string>() << " "
+              << replica.at("address").get<std::string>()
+              << (replica.at("leader").get<bool>() ? " leader" : "")
+              << (replica.at("voter").get<bool>() ? "" : " learner")
+              << (replica.at("regressed").get<bool>() ? " regressed" : "")
+              << " behind=" << replica.at("behind") << "\n";
+  }
+  for (const Json& entry : status->at("entries")) {
+    std::cout << "entry " << entry.at("id").get<std::string>() << " zone "
+              << entry.at("zone").get<std::string>() << " revision "
+              << entry.at("revision") << "\n";
+  }
+  for (const Json& service : status->at("services")) {
     std::size_t usable = 0;
-    std::size_t all = 0;
+    std::size_t total = 0;
     for (const Json& instance : status->at("instances")) {
-      if (instance.at("service") == one.at("id")) {
-        ++all;
-        const bool out =
+      if (instance.at("service") == service.at("id")) {
+        ++total;
+        const bool isUnusable =
           instance.at("lost").get<bool>() ||
           instance.at("cordoned").get<bool>() || instance.at("state") != "up" ||
           instance.at("pool").is_null() || !instance.at("wave").is_null();
-        usable += out ? 0 : 1;
+        usable += isUnusable ? 0 : 1;
       }
     }
-    std::cout << "service " << one.at("id").get<std::string>() << " usable "
-              << usable << " of " << all << "\n";
+    std::cout << "service " << service.at("id").get<std::string>() << " usable "
+              << usable << " of " << total << "\n";
   }
-  for (const Json& one : status->at("waves")) {
-    std::cout << "wave " << one.at("id").get<std::string>() << " "
-              << one.at("state").get<std::string>() << " "
-              << one.at("reason").get<std::string>() << "\n";
+  for (const Json& wave : status->at("waves")) {
+    std::cout << "wave " << wave.at("id").get<std::string>() << " "
+              << wave.at("state").get<std::string>() << " "
+              << wave.at("reason").get<std::string>() << "\n";
   }
   return ExitCode::kDone;
 }
--- a/tools/bamboostile/output.cpp
+++ b/tools/bamboostile/output.cpp
@@ -17,12 +17,12 @@
 }
 
 void
-Print(const Common& aCommon,
-      const std::string& aObject,
-      const std::string& aOperation,
-      const Reply& aReply)
+PrintReply(const GlobalOptions& aOptions,
+           const std::string& aObject,
+           const std::string& aOperation,
+           const Reply& aReply)
 {
-  if (aCommon.m_json) {
+  if (aOptions.m_json) {
     Json json = ToJson(aReply);
     json["operationId"] = aOperation;
     json["object"] = aObject;
@@ -54,16 +54,16 @@
 }
 
 std::optional<Json>
-FetchStatus(const Common& aCommon, Reply& aFailure)
+FetchStatus(const GlobalOptions& aOptions, Reply& aFailure)
 {
-  Session session(aCommon.m_control, aCommon.m_patienceMs);
+  Session session(aOptions.m_control, aOptions.m_timeoutMs);
   return session.Status(aFailure);
 }
 
 ExitCode
-BadInput(const std::string& aWhat)
+PrintInputError(const std::string& aMessage)
 {
-  std::cerr << "bamboostile: " << aWhat << "\n";
+  std::cerr << "bamboostile: " << aMessage << "\n";
   return ExitCode::kBadInput;
 }
 
--- a/tools/bamboostile/output.h
+++ b/tools/bamboostile/output.h
@@ -8,15 +8,16 @@
 
 std::string HexOf(std::uint64_t aValue);
 
-/** Prints the answer to a call as the operator asked for it; failures go to
- * standard error. */
-void Print(const Common& aCommon,
-           const std::string& aObject,
-           const std::string& aOperation,
-           const Reply& aReply);
+/** Prints the reply to a call as text or JSON, as the options ask. Text of a
+ * failed call goes to standard error. */
+void PrintReply(const GlobalOptions& aOptions,
+                const std::string& aObject,
+                const std::string& aOperation,
+                const Reply& aReply);
 
-/** Opens a session of its own, of which a thread can have one at a time. */
-std::optional<nlohmann::json> FetchStatus(const Common& aCommon,
+/** Fetches the status through a session of its own. A thread can have only one
+ * session at a time. */
+std::optional<nlohmann::json> FetchStatus(const GlobalOptions& aOptions,
                                           Reply& aFailure);
 
 } // namespace bamboostile::cli
--- a/tools/bamboostile/request_command.cpp
+++ b/tools/bamboostile/request_command.cpp
@@ -13,11 +13,11 @@
 
 namespace po = boost::program_options;
 
-/** Longer than any deadline an entry grants. */
+/** Exceeds every deadline that an entry grants. */
 constexpr Millis kCallTimeout{ 75'000 };
 
 ExitCode
-ExitOf(const std::optional<std::string>& aOutcome)
+ExitCodeOf(const std::optional<std::string>& aOutcome)
 {
   if (aOutcome == "done") {
     return ExitCode::kDone;
@@ -28,7 +28,7 @@
 } // namespace
 
 ExitCode
-RunRequest(const Common& aCommon, const Words& aWords)
+RunRequest(const GlobalOptions& aOptions, const Arguments& aArguments)
 {
   po::options_description options;
   options.add_options()("method", po::value<std::string>())(
@@ -36,21 +36,21 @@
     "key", po::value<std::string>())("timeout-ms", po::value<std::string>())(
     "class", po::value<std::string>())("attempt", po::value<std::string>())(
     "body", po::value<std::string>());
-  po::positional_options_description positions;
-  positions.add("method", 1).add("target", 1);
+  po::positional_options_description positionalOptions;
+  positionalOptions.add("method", 1).add("target", 1);
   po::variables_map values;
   try {
-    po::store(po::command_line_parser(aWords)
+    po::store(po::command_line_parser(aArguments)
                 .options(options)
-                .positional(positions)
+                .positional(positionalOptions)
                 .run(),
               values);
   } catch (const po::error& error) {
-    return BadInput(error.what());
+    return PrintInputError(error.what());
   }
   for (const char* name : { "method", "target", "entry" }) {
     if (values.count(name) == 0) {
-      return BadInput(std::string{ name } + ": it is missing");
+      return PrintInputError(std::string{ name } + ": missing");
     }
   }
   const auto text = [&](const char* aName) {
@@ -91,7 +91,7 @@
   const std::string id =
     http::FindHeader(result.m_response.m_headers, "Bamboostile-Request-Id")
       .value_or("");
-  if (aCommon.m_json) {
+  if (aOptions.m_json) {
     std::cout << nlohmann::json{ { "status", result.m_response.m_status },
                                  { "outcome", outcome.value_or("") },
                                  { "requestId", id },
@@ -104,7 +104,7 @@
               << " " << id << "\n"
               << result.m_response.m_body;
   }
-  return ExitOf(outcome);
+  return ExitCodeOf(outcome);
 }
 
 } // namespace bamboostile::cli
--- a/tools/bamboostile/review.cpp
+++ b/tools/bamboostile/review.cpp
@@ -11,53 +11,53 @@
 const Json*
 FindById(const Json& aList, const std::string& aId)
 {
-  for (const Json& one : aList) {
-    if (one.at("id") == aId) {
-      return &one;
+  for (const Json& item : aList) {
+    if (item.at("id") == aId) {
+      return &item;
     }
   }
   return nullptr;
 }
 
-/** Compares the wanted fields with those of the object as it is. */
-Review
+/** Compares the desired fields of an object with the current ones. */
+CallDiff
 Compare(const std::string& aKind,
         const std::string& aId,
         const Json* aCurrent,
-        const Json& aWanted)
+        const Json& aDesired)
 {
-  Review review;
-  review.m_object = aId.empty() ? aKind : aKind + " " + aId;
+  CallDiff diff;
+  diff.m_object = aId.empty() ? aKind : aKind + " " + aId;
   if (aCurrent != nullptr) {
-    review.m_revision = aCurrent->at("change").at("revision");
+    diff.m_revision = aCurrent->at("change").at("revision");
   }
-  for (const auto& [field, value] : aWanted.items()) {
+  for (const auto& [field, value] : aDesired.items()) {
     const Json old =
       aCurrent != nullptr ? aCurrent->value(field, Json{}) : Json{};
     if (old != value) {
-      review.m_changes.push_back(field + ": " + old.dump() + " -> " +
-                                 value.dump());
+      diff.m_changes.push_back(field + ": " + old.dump() + " -> " +
+                               value.dump());
     }
   }
-  const bool fresh =
-    aCurrent == nullptr || (aKind == "config" && review.m_revision == 0);
-  review.m_holds = !fresh && review.m_changes.empty();
-  return review;
+  const bool isNew =
+    aCurrent == nullptr || (aKind == "config" && diff.m_revision == 0);
+  diff.m_isApplied = !isNew && diff.m_changes.empty();
+  return diff;
 }
 
-Review
+CallDiff
 CompareRemoval(const std::string& aKind,
                const std::string& aId,
                const Json* aCurrent)
 {
-  Review review;
-  review.m_object = aKind + " " + aId;
-  review.m_holds = aCurrent == nullptr;
+  CallDiff diff;
+  diff.m_object = aKind + " " + aId;
+  diff.m_isApplied = aCurrent == nullptr;
   if (aCurrent != nullptr) {
-    review.m_revision = aCurrent->at("change").at("revision");
-    review.m_changes.push_back("remove");
+    diff.m_revision = aCurrent->at("change").at("revision");
+    diff.m_changes.push_back("remove");
   }
-  return review;
+  return diff;
 }
 
 const char*
@@ -99,8 +99,8 @@
 
 } // namespace
 
-Review
-ReviewCall(schema::OperatorCall::Reader aCall, const Json& aStatus)
+CallDiff
+DiffCall(schema::OperatorCall::Reader aCall, const Json& aStatus)
 {
   using schema::OperatorCall;
   const auto find = [&](const char* aList, const std::string& aId) {
--- a/tools/bamboostile/review.h
+++ b/tools/bamboostile/review.h
@@ -8,20 +8,20 @@
 
 namespace bamboostile::cli {
 
-/** How one call relates to the state as it is. */
-struct Review
+/** The difference between the current state and the result of one call. */
+struct CallDiff
 {
-  /** Such as "service overdrafts". */
+  /** Kind and id of the object, such as "service overdrafts". */
   std::string m_object;
-  /** Zero where the object does not exist. */
+  /** Current revision of the object, or 0 if it does not exist. */
   std::uint64_t m_revision = 0;
-  /** The state is already as the call wants it. */
-  bool m_holds = false;
-  /** Field by field, "name: old -> new". */
+  /** The state already matches the call. */
+  bool m_isApplied = false;
+  /** One "name: old -> new" line for each field that differs. */
   std::vector<std::string> m_changes;
 };
 
-Review ReviewCall(schema::OperatorCall::Reader aCall,
+CallDiff DiffCall(schema::OperatorCall::Reader aCall,
                   const nlohmann::json& aStatus);
 
 } // namespace bamboostile::cli
--- a/tools/bamboostile/session.cpp
+++ b/tools/bamboostile/session.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr Millis kTryTimeout{ 6000 };
-constexpr Millis kPause{ 100 };
+constexpr Millis kAttemptTimeout{ 6000 };
+constexpr Millis kRetryDelay{ 100 };
 
 Reply
 ReadReply(schema::CallReply::Reader aFrom)
@@ -69,21 +69,21 @@
 
 struct Session::Impl
 {
-  using Step = std::function<kj::Promise<Reply>(schema::Operators::Client,
-                                                std::string& aLeader)>;
+  using Operation = std::function<kj::Promise<Reply>(schema::Operators::Client,
+                                                     std::string& aLeader)>;
 
-  Impl(std::vector<std::string> aAddresses, unsigned aPatienceMs)
+  Impl(std::vector<std::string> aAddresses, unsigned aTimeoutMs)
     : m_io(kj::setupAsyncIo())
     , m_addresses(std::move(aAddresses))
-    , m_patience(aPatienceMs)
+    , m_timeout(aTimeoutMs)
   {
   }
 
-  /** Tries replica after replica; what a try leaves open the next one asks
-   * again. */
-  Reply Run(const Step& aStep, bool aFollow = true)
+  /** Calls one replica after another, or the leader that a replica names, until
+   * one gives a definite reply or the timeout ends. */
+  Reply CallLeader(const Operation& aOperation, bool aRetry = true)
   {
-    const TimePoint until = MonotonicNow() + m_patience;
+    const TimePoint deadline = MonotonicNow() + m_timeout;
     Reply last;
     last.m_outcome = "unknown";
     last.m_message = "no control replica answered";
@@ -91,32 +91,32 @@
     std::string address = m_addresses.front();
     while (true) {
       std::string leader;
-      std::string problem;
-      Reply reply = Try(aStep, address, leader, problem);
-      if (problem.empty() && reply.m_exit != ExitCode::kUnknown) {
+      std::string error;
+      Reply reply = CallReplica(aOperation, address, leader, error);
+      if (error.empty() && reply.m_exit != ExitCode::kUnknown) {
         return reply;
       }
-      if (problem.empty()) {
+      if (error.empty()) {
         last = reply;
       } else {
         last.m_message = address;
-        last.m_message.append(": ").append(problem);
+        last.m_message.append(": ").append(error);
       }
-      if (!aFollow || MonotonicNow() >= until) {
+      if (!aRetry || MonotonicNow() >= deadline) {
         return last;
       }
       next = (next + 1) % m_addresses.size();
       address = leader.empty() ? m_addresses[next] : leader;
       m_io.provider->getTimer()
-        .afterDelay(kPause.count() * kj::MILLISECONDS)
+        .afterDelay(kRetryDelay.count() * kj::MILLISECONDS)
         .wait(m_io.waitScope);
     }
   }
 
-  Reply Try(const Step& aStep,
-            const std::string& aAddress,
-            std::string& aLeader,
-            std::string& aProblem)
+  Reply CallReplica(const Operation& aOperation,
+                    const std::string& aAddress,
+                    std::string& aLeader,
+                    std::string& aError)
   {
     Reply reply;
     const auto failure = kj::runCatchingExceptions([&]() {
@@ -124,23 +124,23 @@
         kj::refcounted<rpc::Channel>(m_io.provider->getNetwork(), aAddress);
       auto operators = channel->Get().operatorsRequest().send().getOperators();
       reply = m_io.provider->getTimer()
-                .timeoutAfter(kTryTimeout.count() * kj::MILLISECONDS,
-                              aStep(kj::mv(operators), aLeader))
+                .timeoutAfter(kAttemptTimeout.count() * kj::MILLISECONDS,
+                              aOperation(kj::mv(operators), aLeader))
                 .wait(m_io.waitScope);
     });
     KJ_IF_MAYBE (exception, failure) {
-      aProblem = exception->getDescription().cStr();
+      aError = exception->getDescription().cStr();
     }
     return reply;
   }
 
   kj::AsyncIoContext m_io;
   std::vector<std::string> m_addresses;
-  Millis m_patience;
+  Millis m_timeout;
 };
 
-Session::Session(std::vector<std::string> aAddresses, unsigned aPatienceMs)
-  : m_impl(std::make_unique<Impl>(std::move(aAddresses), aPatienceMs))
+Session::Session(std::vector<std::string> aAddresses, unsigned aTimeoutMs)
+  : m_impl(std::make_unique<Impl>(std::move(aAddresses), aTimeoutMs))
 {
 }
 
@@ -149,7 +149,7 @@
 Reply
 Session::Submit(schema::OperatorCall::Reader aCall)
 {
-  return m_impl->Run(
+  return m_impl->CallLeader(
     [&](schema::Operators::Client aOperators, std::string& aLeader) {
       auto request = aOperators.submitRequest();
       request.setCall(aCall);
@@ -164,14 +164,14 @@
 Session::Status(Reply& aFailure)
 {
   std::optional<nlohmann::json> status;
-  const Reply reply = m_impl->Run(
+  const Reply reply = m_impl->CallLeader(
     [&](schema::Operators::Client aOperators, std::string& aLeader) {
       return aOperators.statusRequest().send().then([&](auto aResponse) {
-        Reply read;
+        Reply statusReply;
         if (aResponse.hasJson()) {
           status = nlohmann::json::parse(aResponse.getJson().cStr());
-          read.m_exit = ExitCode::kDone;
-          return read;
+          statusReply.m_exit = ExitCode::kDone;
+          return statusReply;
         }
         aLeader = aResponse.getReply().getLeaderAddress();
         return ReadReply(aResponse.getReply());
@@ -186,7 +186,7 @@
 Reply
 Session::ReplaceQueues(schema::QueueTable::Reader aTable)
 {
-  return m_impl->Run(
+  return m_impl->CallLeader(
     [&](schema::Operators::Client aOperators, std::string& aLeader) {
       auto request = aOperators.replaceQueuesRequest();
       request.setTable(aTable);
@@ -201,7 +201,7 @@
 Session::Queues(Reply& aFailure)
 {
   std::optional<fleet::RouteTable> table;
-  aFailure = m_impl->Run(
+  aFailure = m_impl->CallLeader(
     [&](schema::Operators::Client aOperators, std::string& aLeader) {
       return aOperators.queuesRequest().send().then([&](auto aResponse) {
         aLeader = aResponse.getReply().getLeaderAddress();
@@ -219,23 +219,23 @@
 Session::CallQueue(const jobs::QueueCall& aCall, Reply& aFailure)
 {
   std::optional<jobs::QueueReply> answer;
-  aFailure = m_impl->Run(
+  aFailure = m_impl->CallLeader(
     [&](schema::Operators::Client aOperators, std::string& aLeader) {
       auto request = aOperators.queueCallRequest();
       wire::Write(aCall, request.initCall());
       return request.send().then([&](auto aResponse) {
-        jobs::QueueReply read = wire::Read(aResponse.getReply());
+        jobs::QueueReply queueReply = wire::Read(aResponse.getReply());
         Reply reply;
-        reply.m_message = jobs::Describe(read.m_outcome);
-        if (read.m_outcome == jobs::QueueOutcome::kNotLeader ||
-            read.m_outcome == jobs::QueueOutcome::kUndecided) {
-          aLeader = read.m_leaderAddress;
+        reply.m_message = jobs::Describe(queueReply.m_outcome);
+        if (queueReply.m_outcome == jobs::QueueOutcome::kNotLeader ||
+            queueReply.m_outcome == jobs::QueueOutcome::kUndecided) {
+          aLeader = queueReply.m_leaderAddress;
           return reply;
         }
-        reply.m_exit = read.m_outcome == jobs::QueueOutcome::kOk
+        reply.m_exit = queueReply.m_outcome == jobs::QueueOutcome::kOk
                          ? ExitCode::kDone
                          : ExitCode::kRefused;
-        answer = std::move(read);
+        answer = std::move(queueReply);
         return reply;
       });
     });
@@ -247,8 +247,8 @@
                  const std::string& aInstance,
                  const std::string& aAddress)
 {
-  const bool follow = aChange != schema::ControlChange::INIT;
-  return m_impl->Run(
+  const bool retry = aChange != schema::ControlChange::INIT;
+  return m_impl->CallLeader(
     [&](schema::Operators::Client aOperators, std::string& aLeader) {
       auto request = aOperators.controlRequest();
       request.setChange(aChange);
@@ -259,7 +259,7 @@
         return ReadReply(aResponse.getReply());
       });
     },
-    follow);
+    retry);
 }
 
 } // namespace bamboostile::cli
--- a/tools/bamboostile/session.h
+++ b/tools/bamboostile/session.h
@@ -19,7 +19,7 @@
 
 namespace bamboostile::cli {
 
-/** What the shell sees; docs/OPERATING.md repeats them. */
+/** Exit codes of the program, documented in docs/OPERATING.md. */
 enum class ExitCode
 {
   kDone = 0,
@@ -28,7 +28,7 @@
   kUnknown = 3,
 };
 
-/** The answer to one call, whichever replica gave it. */
+/** The reply to one call, from whichever replica answered. */
 struct Reply
 {
   ExitCode m_exit = ExitCode::kUnknown;
@@ -43,23 +43,24 @@
 nlohmann::json ToJson(const Reply& aReply);
 
 /**
- * @brief Talks to whichever control replica leads, and asks again, with the
- * same operation id, until an answer comes or the patience ends.
+ * @brief Sends calls to the leader of the control replicas. Repeats a call,
+ * with the same operation id, until it is answered or the timeout ends.
  */
 class Session
 {
 public:
-  Session(std::vector<std::string> aAddresses, unsigned aPatienceMs);
+  Session(std::vector<std::string> aAddresses, unsigned aTimeoutMs);
   ~Session();
 
   Reply Submit(schema::OperatorCall::Reader aCall);
   std::optional<nlohmann::json> Status(Reply& aFailure);
   Reply ReplaceQueues(schema::QueueTable::Reader aTable);
   std::optional<fleet::RouteTable> Queues(Reply& aFailure);
-  /** Empty where no leader answered; aFailure says why. */
+  /** Empty if no leader answered; aFailure then holds the reason. */
   std::optional<jobs::QueueReply> CallQueue(const jobs::QueueCall& aCall,
                                             Reply& aFailure);
-  /** Membership calls; init goes to the first address only. */
+  /** Changes the membership of the control group. INIT is sent only to the
+   * first address, once. */
   Reply Control(schema::ControlChange aChange,
                 const std::string& aInstance,
                 const std::string& aAddress);
