--- a/tools/bamboostiled/main.cpp
+++ b/tools/bamboostiled/main.cpp
@@ -34,13 +34,13 @@
 constexpr int kExitDone = 0;
 constexpr int kExitFailed = 1;
 constexpr int kExitBadInput = 2;
-/** After the last answer was handed over, it still has to leave. */
-constexpr auto kFlush = std::chrono::milliseconds{ 300 };
-/** Between two tries to open a data folder whose disk refuses. */
-constexpr auto kOpenAgain = 500 * kj::MILLISECONDS;
+/** Delay before the HTTP server stops, in which the last response is sent. */
+constexpr auto kFlushDelay = std::chrono::milliseconds{ 300 };
+/** Interval between attempts to open a data folder after a disk error. */
+constexpr auto kReopenInterval = 500 * kj::MILLISECONDS;
 
 std::uint64_t
-RandomNumber()
+RandomUint63()
 {
   std::random_device device;
   return (static_cast<std::uint64_t>(device()) << 32 | device()) >> 1;
@@ -52,18 +52,18 @@
   telemetry::TracerOptions options;
   options.m_instance = aSettings.m_instance.Get();
   options.m_samplePercent = aSettings.m_trace.m_samplePercent;
-  options.m_seed = RandomNumber();
+  options.m_seed = RandomUint63();
   if (aSettings.m_trace.m_file) {
     return telemetry::MakeTracer(
       options, telemetry::MakeFileSink(*aSettings.m_trace.m_file));
   }
   if (aSettings.m_trace.m_url) {
-    const std::string rest =
+    const std::string hostAndPath =
       aSettings.m_trace.m_url->substr(std::string{ "http://" }.size());
-    const std::size_t slash = rest.find('/');
-    const std::string address = rest.substr(0, slash);
+    const std::size_t slash = hostAndPath.find('/');
+    const std::string address = hostAndPath.substr(0, slash);
     const std::string target =
-      slash == std::string::npos ? "/v1/traces" : rest.substr(slash);
+      slash == std::string::npos ? "/v1/traces" : hostAndPath.substr(slash);
     auto client = std::make_shared<http::Client>();
     return telemetry::MakeTracer(
       options, [client, address, target](std::string aDocument) {
@@ -81,14 +81,14 @@
   return nullptr;
 }
 
-/** The parts of a running process; which ones there are follows from the
- * roles. */
+/** Owns the components of the process. The roles in the settings decide which
+ * of them exist. */
 class Daemon
 {
 public:
-  Daemon(settings::Settings aSettings, std::string aFile)
+  Daemon(settings::Settings aSettings, std::string aSettingsFile)
     : m_settings(std::move(aSettings))
-    , m_file(std::move(aFile))
+    , m_settingsFile(std::move(aSettingsFile))
   {
   }
 
@@ -110,18 +110,18 @@
       .With("control", m_settings.m_control)
       .With("entry", m_settings.m_entry)
       .Write();
-    auto reloading = ReloadLoop().eagerlyEvaluate(nullptr);
+    auto reloadLoop = ReloadLoop().eagerlyEvaluate(nullptr);
     const int code = WaitForStop().wait(io.waitScope);
     if (m_tracer) {
       m_tracer->Close();
     }
     if (m_frontend) {
-      std::this_thread::sleep_for(kFlush);
+      std::this_thread::sleep_for(kFlushDelay);
       m_frontend->Stop();
     }
     LogLine(Level::kInfo, "stopped").With("code", code).Write();
-    // The loop's objects refer to each other across it; the process ends, so
-    // nothing is gained by taking them apart, and all that counts is synced.
+    // Exits without destructors: the objects on the event loop refer to each
+    // other, and all durable state is already synced.
     std::cout.flush();
     std::_Exit(code);
   }
@@ -133,25 +133,25 @@
       return StartRelay(control::RelayKind::kWithoutDisk);
     }
     storage::Failure failure;
-    if (auto folder = OpenFolder(failure)) {
+    if (auto folder = OpenDataFolder(failure)) {
       return StartReplica(std::move(*folder));
     }
-    // A disk that refuses for a while, full or failing, is tried again; a
-    // folder that cannot be trusted is for an operator to look at.
-    const bool mayPass =
+    // A disk that is full or fails may recover, so opening is retried. A
+    // corrupt folder needs an operator.
+    const bool isRetryable =
       failure.m_error == storage::Error::kIo || storage::MayPass(failure);
-    if (!mayPass || !m_settings.m_hosting ||
+    if (!isRetryable || !m_settings.m_hosting ||
         !StartRelay(control::RelayKind::kAwaitsDisk)) {
       return false;
     }
-    m_opening = OpenLoop().eagerlyEvaluate(nullptr);
+    m_reopenLoop = ReopenLoop().eagerlyEvaluate(nullptr);
     return true;
   }
 
-  /** Takes the place of a replica while there is no disk for one. */
+  /** Runs a relay in place of a replica while no data folder is usable. */
   bool StartRelay(control::RelayKind aKind)
   {
-    LogLine(Level::kInfo, "naming the leader, without a log").Write();
+    LogLine(Level::kInfo, "relay started, no data folder in use").Write();
     m_leaderWatch = std::make_unique<entry::LeaderWatch>(
       *m_io->provider, settings::SeedsOf(m_settings));
     const auto leader = [this]() { return m_leaderWatch->LeaderAddress(); };
@@ -160,21 +160,21 @@
       return true;
     }
     m_relayFront = std::make_unique<platform::RelayFront>(m_settings, leader);
-    return ReportStart(*m_relayFront);
+    return StartFront(*m_relayFront);
   }
 
-  kj::Promise<void> OpenLoop()
+  kj::Promise<void> ReopenLoop()
   {
     return m_io->provider->getTimer()
-      .afterDelay(kOpenAgain)
+      .afterDelay(kReopenInterval)
       .then([this]() -> kj::Promise<void> {
         storage::Failure failure;
-        auto folder = OpenFolder(failure);
+        auto folder = OpenDataFolder(failure);
         if (!folder) {
-          return OpenLoop();
+          return ReopenLoop();
         }
         m_relayFront.reset();
-        m_listening = nullptr;
+        m_rpcListener = nullptr;
         if (!StartReplica(std::move(*folder))) {
           std::_Exit(kExitFailed);
         }
@@ -184,7 +184,7 @@
 
   void ListenForRpc(schema::Control::Client aServer)
   {
-    m_listening =
+    m_rpcListener =
       control::Listen(
         kj::mv(aServer), *m_io->provider, m_settings.m_rpc->ToText())
         .eagerlyEvaluate([](kj::Exception&& aException) {
@@ -201,20 +201,20 @@
     std::unique_ptr<storage::LogStore> m_store;
   };
 
-  std::optional<DataFolder> OpenFolder(storage::Failure& aFailure) const
+  std::optional<DataFolder> OpenDataFolder(storage::Failure& aFailure) const
   {
     DataFolder folder;
     storage::Opened& opened = folder.m_opened;
     folder.m_store = storage::LogStore::Open(
       *m_settings.m_dataFolder, m_settings.m_instance, opened, aFailure);
     if (!folder.m_store) {
-      LogLine(Level::kError, "the data folder cannot be used")
+      LogLine(Level::kError, "data folder cannot be used")
         .With("reason", storage::ToText(aFailure))
         .Write();
       return std::nullopt;
     }
     if (opened.m_cut) {
-      LogLine(Level::kWarning, "an incomplete last write was cut off")
+      LogLine(Level::kWarning, "incomplete last write truncated")
         .With("file", opened.m_cut->m_file.string())
         .With("offset", opened.m_cut->m_offset)
         .With("bytes", opened.m_cut->m_bytes)
@@ -233,10 +233,10 @@
     options.m_address = m_settings.m_rpc->ToText();
     options.m_snapshotEvery = m_settings.m_snapshotEvery;
     if (m_settings.m_platform) {
-      m_platform =
-        std::make_unique<daemon::Platform>(m_settings.m_platform->ToText());
+      m_restartClient = std::make_unique<daemon::RestartClient>(
+        m_settings.m_platform->ToText());
       options.m_restart = [this](const fleet::Instance& aInstance) {
-        m_platform->Restart(aInstance);
+        m_restartClient->Restart(aInstance);
       };
     }
     if (m_settings.m_hosting) {
@@ -253,9 +253,9 @@
       std::move(aFolder.m_store),
       *m_io->provider,
       [](const storage::Failure& aFailure) {
-        // A replica that cannot keep its promises on disk must not go on
-        // giving them from memory.
-        LogLine(Level::kError, "the disk failed, stopping")
+        // Votes and acknowledged entries must be durable, so a replica must not
+        // continue without its disk.
+        LogLine(Level::kError, "disk failure, process exits")
           .With("reason", storage::ToText(aFailure))
           .Write();
         std::_Exit(kExitFailed);
@@ -274,7 +274,7 @@
           .Write();
         return false;
       }
-      m_publishing = PublishLoop().eagerlyEvaluate(nullptr);
+      m_publishLoop = PublishLoop().eagerlyEvaluate(nullptr);
     }
     return true;
   }
@@ -305,18 +305,18 @@
     }
     m_controlFront =
       std::make_unique<platform::ControlFront>(m_settings, *m_jobs);
-    return ReportStart(*m_controlFront);
+    return StartFront(*m_controlFront);
   }
 
   bool StartHostedEntry()
   {
     m_callerFront =
       std::make_unique<platform::CallerFront>(m_settings, *m_io->provider);
-    return ReportStart(*m_callerFront);
+    return StartFront(*m_callerFront);
   }
 
   template<typename Front>
-  static bool ReportStart(Front& aFront)
+  static bool StartFront(Front& aFront)
   {
     std::string reason;
     if (aFront.Start(reason)) {
@@ -332,13 +332,13 @@
   {
     telemetry::Metrics metrics;
     consensus::Replica& replica = m_node->Replica();
-    const bool leads = m_node->IsServing();
+    const bool isLeader = m_node->IsServing();
     metrics.Set("term", static_cast<double>(replica.CurrentTerm().Get()));
     metrics.Set("commit_index",
                 static_cast<double>(replica.CommitIndex().Get()));
     metrics.Set("snapshot_index",
                 static_cast<double>(replica.SnapshotIndex().Get()));
-    metrics.Set("leader", leads ? 1 : 0);
+    metrics.Set("leader", isLeader ? 1 : 0);
     metrics.Set("outcomes",
                 static_cast<double>(m_node->State().Outcomes().Size()));
     m_probes->Publish(replica.Leader().has_value(), metrics.Render());
@@ -354,8 +354,8 @@
     }
     entry::FrontendOptions options;
     options.m_settings = m_settings;
-    options.m_self = { m_settings.m_instance, Incarnation{ RandomNumber() } };
-    options.m_engine.m_routing.m_seed = RandomNumber();
+    options.m_self = { m_settings.m_instance, Incarnation{ RandomUint63() } };
+    options.m_engine.m_routing.m_seed = RandomUint63();
     m_tracer = MakeTracer(m_settings);
     const std::vector<std::string> seeds = settings::SeedsOf(m_settings);
     m_queues = std::make_unique<entry::QueueGateway>(*m_io->provider, seeds);
@@ -368,24 +368,27 @@
         .Write();
       return false;
     }
-    entry::LinkOptions link;
-    link.m_self = options.m_self;
-    link.m_zone = m_settings.m_zone;
-    link.m_httpAddress = m_settings.m_http->ToText();
-    link.m_seeds = seeds;
-    m_link = std::make_unique<entry::Link>(
-      link, *m_io->provider, m_inbox, [this](entry::LeaseGranted aLease) {
-        m_frontend->OnLease(std::move(aLease));
-      });
+    entry::LinkOptions linkOptions;
+    linkOptions.m_self = options.m_self;
+    linkOptions.m_zone = m_settings.m_zone;
+    linkOptions.m_httpAddress = m_settings.m_http->ToText();
+    linkOptions.m_seeds = seeds;
+    m_link =
+      std::make_unique<entry::Link>(linkOptions,
+                                    *m_io->provider,
+                                    m_inbox,
+                                    [this](entry::LeaseGranted aLease) {
+                                      m_frontend->OnLease(std::move(aLease));
+                                    });
     return true;
   }
 
-  /** Seeds change while a process runs; everything else holds until the next
-   * start. A file that is not sound changes nothing. */
+  /** Applies new seeds; all other settings need a restart. An invalid file
+   * changes nothing. */
   void Reload()
   {
     settings::Problem problem;
-    const auto loaded = settings::Load(m_file, problem);
+    const auto loaded = settings::Load(m_settingsFile, problem);
     if (!loaded) {
       LogLine(Level::kError, "settings not reloaded")
         .With("reason", settings::ToText(problem))
@@ -413,7 +416,7 @@
     });
   }
 
-  kj::Promise<void> Signal()
+  kj::Promise<void> StopSignal()
   {
     auto& port = m_io->unixEventPort;
     return port.onSignal(SIGTERM).ignoreResult().exclusiveJoin(
@@ -422,7 +425,7 @@
 
   kj::Promise<int> WaitForStop()
   {
-    return Signal().then([this]() -> kj::Promise<int> {
+    return StopSignal().then([this]() -> kj::Promise<int> {
       LogLine(Level::kInfo, "stopping").Write();
       if (m_callerFront) {
         return m_callerFront->Drain().then([]() { return kExitDone; });
@@ -431,15 +434,15 @@
         return kExitDone;
       }
       auto pair = kj::newPromiseAndCrossThreadFulfiller<void>();
-      m_drained = kj::mv(pair.fulfiller);
+      m_drainFulfiller = kj::mv(pair.fulfiller);
       m_frontend->Drain([this]() {
-        if (m_drained->isWaiting()) {
-          m_drained->fulfill();
+        if (m_drainFulfiller->isWaiting()) {
+          m_drainFulfiller->fulfill();
         }
       });
       auto finished = pair.promise.then([]() { return kExitDone; });
-      auto forced = Signal().then([this]() {
-        LogLine(Level::kWarning, "stopped by force")
+      auto forced = StopSignal().then([this]() {
+        LogLine(Level::kWarning, "drain interrupted by a second signal")
           .With("abandonedRequests", m_frontend->OpenRequests())
           .Write();
         return kExitFailed;
@@ -449,9 +452,9 @@
   }
 
   settings::Settings m_settings;
-  std::string m_file;
+  std::string m_settingsFile;
   kj::AsyncIoContext* m_io = nullptr;
-  std::unique_ptr<daemon::Platform> m_platform;
+  std::unique_ptr<daemon::RestartClient> m_restartClient;
   std::unique_ptr<control::Node> m_node;
   std::unique_ptr<platform::InstancesClient> m_instances;
   std::unique_ptr<control::JobService> m_jobs;
@@ -459,16 +462,16 @@
   std::unique_ptr<platform::CallerFront> m_callerFront;
   std::unique_ptr<entry::LeaderWatch> m_leaderWatch;
   std::unique_ptr<platform::RelayFront> m_relayFront;
-  kj::Promise<void> m_opening = nullptr;
-  kj::Promise<void> m_listening = nullptr;
-  kj::Promise<void> m_publishing = nullptr;
+  kj::Promise<void> m_reopenLoop = nullptr;
+  kj::Promise<void> m_rpcListener = nullptr;
+  kj::Promise<void> m_publishLoop = nullptr;
   std::unique_ptr<daemon::ProbeServer> m_probes;
   std::shared_ptr<opentracing::Tracer> m_tracer;
   rpc::Mailbox<entry::LinkMessage> m_inbox;
   std::unique_ptr<entry::QueueGateway> m_queues;
   std::unique_ptr<entry::Frontend> m_frontend;
   std::unique_ptr<entry::Link> m_link;
-  kj::Own<kj::CrossThreadPromiseFulfiller<void>> m_drained;
+  kj::Own<kj::CrossThreadPromiseFulfiller<void>> m_drainFulfiller;
 };
 
 } // namespace
@@ -505,7 +508,7 @@
     return kExitBadInput;
   }
   if (values.count("check") > 0) {
-    std::cout << "the settings are sound\n";
+    std::cout << "the settings are valid\n";
     return kExitDone;
   }
   std::signal(SIGPIPE, SIG_IGN);
--- a/tools/bamboostiled/platform.h
+++ b/tools/bamboostiled/platform.h
@@ -9,19 +9,19 @@
 
 namespace bamboostile::daemon {
 
-/** Asks the platform to restart instances, again and again while they have
- * not come back. The incarnation goes along, so that a request that arrives
- * late does not restart an instance that is back already. */
-class Platform
+/** Requests restarts of instances from the platform. The caller repeats a
+ * request until the instance is back. Each request names the incarnation, so
+ * that a late one does not restart an instance that is back already. */
+class RestartClient
 {
 public:
-  explicit Platform(std::string aAddress);
+  explicit RestartClient(std::string aAddress);
 
   void Restart(const fleet::Instance& aInstance);
 
 private:
   std::string m_address;
-  std::map<InstanceId, TimePoint> m_askedAt;
+  std::map<InstanceId, TimePoint> m_requestedAt;
   http::Client m_client;
 };
 
--- a/tools/bamboostiled/probe_server.cpp
+++ b/tools/bamboostiled/probe_server.cpp
@@ -5,7 +5,7 @@
 ProbeServer::ProbeServer(const settings::Address& aAddress,
                          control::JobService& aJobs,
                          std::string& aReason)
-  : m_workers(aJobs)
+  : m_workerApi(aJobs)
 {
   http::ServerOptions options;
   options.m_address = aAddress.m_host;
@@ -29,7 +29,7 @@
 void
 ProbeServer::Answer(const std::shared_ptr<http::Exchange>& aExchange)
 {
-  if (m_workers.Handle(*m_server, aExchange)) {
+  if (m_workerApi.Handle(*m_server, aExchange)) {
     return;
   }
   const std::string& target = aExchange->Incoming().m_target;
--- a/tools/bamboostiled/probe_server.h
+++ b/tools/bamboostiled/probe_server.h
@@ -5,8 +5,8 @@
 
 namespace bamboostile::daemon {
 
-/** Health, readiness and workers' reports of a process that takes no
- * callers. */
+/** Serves health, readiness, metrics and the worker API over HTTP in a process
+ * without an entry. */
 class ProbeServer
 {
 public:
@@ -15,7 +15,7 @@
               std::string& aReason);
 
   bool IsStarted() const { return m_started; }
-  /** From any thread. */
+  /** Sets readiness and the text of /metrics. Thread-safe. */
   void Publish(bool aReady, std::string aMetrics);
 
 private:
@@ -24,7 +24,7 @@
   bool m_ready = false;
   std::string m_metrics;
   bool m_started = false;
-  control::WorkerApi m_workers;
+  control::WorkerApi m_workerApi;
   std::unique_ptr<http::Server> m_server;
 };
 
