--- a/fakes/caller.cpp
+++ b/fakes/caller.cpp
@@ -1,6 +1,6 @@
-// A small caller: sends mixed requests to several entries, asks again under
-// the same id where no answer came, and then compares what it was told with
-// what the upstreams counted.
+// A fake caller: sends GET and POST requests to several entries, repeats a
+// request under the same id if no answer came, and then compares the outcomes
+// with the executions that the upstreams counted.
 
 #include "bamboostile/http/client.h"
 
@@ -30,29 +30,30 @@
   unsigned m_workers = 4;
   unsigned m_postPercent = 50;
   unsigned m_timeoutMs = 3000;
-  /** The time between two requests of one worker. */
+  /** Pause of a worker thread after each request. */
   unsigned m_pauseMs = 0;
   unsigned m_bodyBytes = 64;
-  unsigned m_tries = 5;
+  unsigned m_maxAttempts = 5;
   std::string m_prefix = "r";
-  /** Compare with calling an upstream directly. */
+  /** Call the upstreams directly, as a baseline. */
   bool m_direct = false;
 };
 
-enum class Told
+enum class Outcome
 {
   kDone,
   kNotRun,
   kUnknown,
-  kNothing,
+  /** No attempt was answered with an outcome. */
+  kNone,
 };
 
-struct Tally
+struct Results
 {
   std::mutex m_mutex;
-  std::map<std::string, Told> m_told;
-  std::vector<double> m_millis;
-  std::uint64_t m_wrong = 0;
+  std::map<std::string, Outcome> m_outcomes;
+  std::vector<double> m_latenciesMs;
+  std::uint64_t m_foreignAnswers = 0;
 };
 
 http::CallResult
@@ -81,26 +82,27 @@
       aId + std::string(aOptions.m_bodyBytes, 'x'));
   }
   call.m_timeout = Millis{ aOptions.m_timeoutMs + 5000 };
-  // A repeated send below us would hide what the entry does.
+  // A retry inside the HTTP client would hide how the entry handles a repeated
+  // request.
   call.m_onlyOnce = !aOptions.m_direct && post;
   return call;
 }
 
-Told
-ToldBy(const http::CallResult& aResult)
+Outcome
+OutcomeOf(const http::CallResult& aResult)
 {
   const auto outcome =
     http::FindHeader(aResult.m_response.m_headers, "Bamboostile-Outcome");
   if (outcome == "done") {
-    return Told::kDone;
+    return Outcome::kDone;
   }
   if (outcome == "not-run") {
-    return Told::kNotRun;
+    return Outcome::kNotRun;
   }
-  return outcome == "unknown" ? Told::kUnknown : Told::kNothing;
+  return outcome == "unknown" ? Outcome::kUnknown : Outcome::kNone;
 }
 
-/** An answer to another request than ours, or a part of one. */
+/** Whether an answer belongs to another request, or is incomplete. */
 bool
 IsForeign(const http::CallResult& aResult, const std::string& aId)
 {
@@ -109,36 +111,38 @@
 }
 
 void
-SendOne(const Options& aOptions,
-        unsigned aNumber,
-        http::Client& aClient,
-        Tally& aTally)
+SendRequest(const Options& aOptions,
+            unsigned aNumber,
+            http::Client& aClient,
+            Results& aResults)
 {
   const std::string id = aOptions.m_prefix + std::to_string(aNumber);
   const TimePoint start = MonotonicNow();
-  Told told = Told::kNothing;
-  bool foreign = false;
-  for (unsigned i = 0; i < aOptions.m_tries && told == Told::kNothing; ++i) {
+  Outcome outcome = Outcome::kNone;
+  bool isForeign = false;
+  for (unsigned i = 0; i < aOptions.m_maxAttempts && outcome == Outcome::kNone;
+       ++i) {
     http::Call call = MakeCall(aOptions, aNumber, id);
     const auto& targets =
       aOptions.m_direct ? aOptions.m_upstreams : aOptions.m_entries;
     call.m_address = targets[(aNumber + i) % targets.size()];
     const auto result = CallAndWait(aClient, std::move(call));
     if (result.m_end == http::CallEnd::kAnswered) {
-      told = aOptions.m_direct ? Told::kDone : ToldBy(result);
-      foreign = told == Told::kDone && IsForeign(result, id);
+      outcome = aOptions.m_direct ? Outcome::kDone : OutcomeOf(result);
+      isForeign = outcome == Outcome::kDone && IsForeign(result, id);
     } else {
       std::this_thread::sleep_for(std::chrono::milliseconds{ 100 });
     }
   }
-  const std::chrono::duration<double, std::milli> took = MonotonicNow() - start;
-  const std::lock_guard lock(aTally.m_mutex);
-  aTally.m_told[id] = told;
-  aTally.m_wrong += foreign ? 1 : 0;
-  aTally.m_millis.push_back(took.count());
+  const std::chrono::duration<double, std::milli> elapsed =
+    MonotonicNow() - start;
+  const std::lock_guard lock(aResults.m_mutex);
+  aResults.m_outcomes[id] = outcome;
+  aResults.m_foreignAnswers += isForeign ? 1 : 0;
+  aResults.m_latenciesMs.push_back(elapsed.count());
 }
 
-/** How often each request ran, over all upstreams. */
+/** Executions of each request, summed over all upstreams. */
 std::map<std::string, std::uint64_t>
 CollectRuns(const Options& aOptions, http::Client& aClient)
 {
@@ -162,44 +166,44 @@
 }
 
 double
-Quantile(std::vector<double> aValues, double aShare)
+Quantile(std::vector<double> aValues, double aFraction)
 {
   if (aValues.empty()) {
     return 0;
   }
   std::sort(aValues.begin(), aValues.end());
-  const auto at =
-    static_cast<std::size_t>(aShare * static_cast<double>(aValues.size() - 1));
-  return aValues[at];
+  const auto index = static_cast<std::size_t>(
+    aFraction * static_cast<double>(aValues.size() - 1));
+  return aValues[index];
 }
 
 Json
 Summarize(const Options& aOptions,
-          const Tally& aTally,
+          const Results& aResults,
           const std::map<std::string, std::uint64_t>& aRuns,
           double aSeconds)
 {
-  std::map<Told, std::uint64_t> counts;
+  std::map<Outcome, std::uint64_t> counts;
   std::uint64_t doubled = 0;
   std::uint64_t falseNotRun = 0;
-  for (const auto& [id, told] : aTally.m_told) {
-    ++counts[told];
+  for (const auto& [id, outcome] : aResults.m_outcomes) {
+    ++counts[outcome];
     const auto runs = aRuns.find("POST " + id);
     if (runs == aRuns.end()) {
       continue;
     }
     doubled += runs->second > 1 ? 1 : 0;
-    falseNotRun += told == Told::kNotRun ? 1 : 0;
+    falseNotRun += outcome == Outcome::kNotRun ? 1 : 0;
   }
-  return { { "served", counts[Told::kDone] },
-           { "notRun", counts[Told::kNotRun] },
-           { "unknown", counts[Told::kUnknown] },
-           { "lost", counts[Told::kNothing] + aTally.m_wrong },
+  return { { "served", counts[Outcome::kDone] },
+           { "notRun", counts[Outcome::kNotRun] },
+           { "unknown", counts[Outcome::kUnknown] },
+           { "lost", counts[Outcome::kNone] + aResults.m_foreignAnswers },
            { "doubled", doubled },
            { "falseNotRun", falseNotRun },
-           { "p50Ms", Quantile(aTally.m_millis, 0.5) },
-           { "p99Ms", Quantile(aTally.m_millis, 0.99) },
-           { "maxMs", Quantile(aTally.m_millis, 1) },
+           { "p50Ms", Quantile(aResults.m_latenciesMs, 0.5) },
+           { "p99Ms", Quantile(aResults.m_latenciesMs, 0.99) },
+           { "maxMs", Quantile(aResults.m_latenciesMs, 1) },
            { "perSecond", aOptions.m_count / aSeconds } };
 }
 
@@ -209,28 +213,29 @@
 main(int aCount, char** aArguments)
 {
   Options options;
-  po::options_description known("fake_caller");
-  known.add_options()("entry", po::value(&options.m_entries)->multitoken())(
+  po::options_description description("fake_caller");
+  description.add_options()("entry",
+                            po::value(&options.m_entries)->multitoken())(
     "upstream", po::value(&options.m_upstreams)->multitoken())(
     "service", po::value(&options.m_services)->multitoken()->required())(
     "count", po::value(&options.m_count))("workers",
                                           po::value(&options.m_workers))(
     "post-percent", po::value(&options.m_postPercent))(
-    "timeout-ms",
-    po::value(&options.m_timeoutMs))("pause-ms", po::value(&options.m_pauseMs))(
-    "body-bytes", po::value(&options.m_bodyBytes))("tries",
-                                                   po::value(&options.m_tries))(
+    "timeout-ms", po::value(&options.m_timeoutMs))(
+    "pause-ms", po::value(&options.m_pauseMs))("body-bytes",
+                                               po::value(&options.m_bodyBytes))(
+    "tries", po::value(&options.m_maxAttempts))(
     "prefix", po::value(&options.m_prefix))("direct", "call upstreams");
   try {
     po::variables_map values;
-    po::store(po::parse_command_line(aCount, aArguments, known), values);
+    po::store(po::parse_command_line(aCount, aArguments, description), values);
     po::notify(values);
     options.m_direct = values.count("direct") > 0;
   } catch (const po::error& error) {
     std::cerr << error.what() << "\n";
     return 2;
   }
-  Tally tally;
+  Results results;
   std::atomic<unsigned> next = 0;
   const TimePoint start = MonotonicNow();
   std::vector<std::thread> workers;
@@ -238,7 +243,7 @@
     workers.emplace_back([&]() {
       http::Client client;
       for (unsigned n = next++; n < options.m_count; n = next++) {
-        SendOne(options, n, client, tally);
+        SendRequest(options, n, client, results);
         std::this_thread::sleep_for(
           std::chrono::milliseconds{ options.m_pauseMs });
       }
@@ -247,9 +252,10 @@
   for (std::thread& worker : workers) {
     worker.join();
   }
-  const std::chrono::duration<double> took = MonotonicNow() - start;
+  const std::chrono::duration<double> elapsed = MonotonicNow() - start;
   http::Client client;
   const auto runs = CollectRuns(options, client);
-  std::cout << Summarize(options, tally, runs, took.count()).dump() << "\n";
+  std::cout << Summarize(options, results, runs, elapsed.count()).dump()
+            << "\n";
   return 0;
 }
--- a/fakes/platform.cpp
+++ b/fakes/platform.cpp
@@ -1,10 +1,10 @@
-// A small platform that hosts instances. Their fake upstreams or workers are
-// restarted through POST /fake/restart:
-//   POST /v1/restart/{instance}?incarnation=N   once for each incarnation
+// A fake platform that hosts instances and restarts their fake upstreams or
+// workers through POST /fake/restart. It serves:
+//   POST /v1/restart/{instance}?incarnation=N   restarts an incarnation once
 //   POST /bamboostile/machine-upkeep, /bamboostile/machine-move
 //   GET /bamboostile/machines
-// Each order that arrives and each instance that goes down is printed. Orders
-// can fail in a given way, as those of a platform behind a network do.
+// It prints each order that arrives and each instance that goes down. Orders
+// can be made to fail in the ways of a platform behind a network.
 
 #include "raw_server.h"
 
@@ -29,41 +29,43 @@
 
 std::atomic<bool> g_stop = false;
 
-constexpr int kIdleMs = 60'000;
-constexpr Millis kAnswerLate{ 2000 };
-constexpr Millis kObeyLate{ 1700 };
+constexpr int kIdleTimeoutMs = 60'000;
+constexpr Millis kLateAnswerDelay{ 2000 };
+constexpr Millis kLateExecutionDelay{ 1700 };
 
-/** One whole line; connections are served by threads of their own. */
+/** Writes a line in one piece, since each connection has its own thread. */
 void
 Print(const std::string& aLine)
 {
   std::cout << aLine + "\n" << std::flush;
 }
 
-/** What goes wrong with an order. */
+/** Injected failure of an order. "Before" means that it is not executed. */
 enum class Failure
 {
   kNone,
-  /** Obeyed; the connection, open since an earlier request, is closed. */
-  kKeptClosed,
+  /** Executed; a connection that served an earlier request is then closed
+   * without an answer. */
+  kReusedClosed,
   kClosed,
   kClosedBefore,
   kUnavailable,
   kUnavailableBefore,
   kAnsweredLate,
-  /** No answer; obeyed long after the caller has given up. */
-  kObeyedLate,
+  /** No answer; executed kLateExecutionDelay later, after the sender has timed
+   * out. */
+  kExecutedLate,
 };
 
 const std::map<std::string, Failure> kFailures{
   { "none", Failure::kNone },
-  { "kept-closed", Failure::kKeptClosed },
+  { "kept-closed", Failure::kReusedClosed },
   { "closed", Failure::kClosed },
   { "closed-before", Failure::kClosedBefore },
   { "unavailable", Failure::kUnavailable },
   { "unavailable-before", Failure::kUnavailableBefore },
   { "answered-late", Failure::kAnsweredLate },
-  { "obeyed-late", Failure::kObeyedLate },
+  { "obeyed-late", Failure::kExecutedLate },
 };
 
 struct Options
@@ -72,8 +74,8 @@
   std::map<std::string, std::string> m_addresses;
   unsigned m_downMs = 2000;
   Failure m_failure = Failure::kNone;
-  /** One order in so many fails. */
-  unsigned m_failsEvery = 1;
+  /** Every n-th order fails; 1 means all. */
+  unsigned m_failEvery = 1;
 };
 
 struct Reply
@@ -89,10 +91,10 @@
   std::string m_state = "up";
   TimePoint m_downUntil;
   std::uint64_t m_highestToken = 0;
-  std::set<std::uint64_t> m_maintainedFor;
+  std::set<std::uint64_t> m_maintainedWaves;
 };
 
-/** The instances, and what orders do to them; any thread may call. */
+/** The hosted instances and the effects of orders on them. Thread-safe. */
 class Hosting
 {
 public:
@@ -113,17 +115,17 @@
     }
     HostedInstance& instance = found->second;
     const auto wave = aBody.at("wave").get<std::uint64_t>();
-    const bool isDone = instance.m_maintainedFor.contains(wave);
-    if (const auto refusal = Refuse(instance, aToken)) {
+    const bool isDone = instance.m_maintainedWaves.contains(wave);
+    if (const auto refusal = CheckRefusal(instance, aToken)) {
       return *refusal;
     }
     if (isDone) {
       return {};
     }
-    instance.m_maintainedFor.insert(wave);
+    instance.m_maintainedWaves.insert(wave);
     TakeDown(found->first, instance, "upkeep");
     Print("down " + found->first + " wave " + std::to_string(wave) + " of " +
-          std::to_string(CountDown()));
+          std::to_string(CountInMaintenance()));
     return {};
   }
 
@@ -136,7 +138,7 @@
     }
     HostedInstance& instance = found->second;
     const auto pool = aBody.at("pool").get<std::string>();
-    if (const auto refusal = Refuse(instance, aToken)) {
+    if (const auto refusal = CheckRefusal(instance, aToken)) {
       return *refusal;
     }
     if (instance.m_pool != pool) {
@@ -177,8 +179,8 @@
     return MonotonicNow() < aInstance.m_downUntil ? aInstance.m_state : "up";
   }
 
-  static std::optional<Reply> Refuse(HostedInstance& aInstance,
-                                     std::uint64_t aToken)
+  static std::optional<Reply> CheckRefusal(HostedInstance& aInstance,
+                                           std::uint64_t aToken)
   {
     if (aToken < aInstance.m_highestToken) {
       return Reply{ 409, R"({"reason":"fence"})" };
@@ -190,7 +192,7 @@
     return std::nullopt;
   }
 
-  int CountDown() const
+  int CountInMaintenance() const
   {
     int down = 0;
     for (const auto& [name, instance] : m_instances) {
@@ -228,7 +230,7 @@
   http::Client m_client;
 };
 
-/** Reads requests from connections, and lets orders fail as told. */
+/** Serves HTTP connections and injects the failure that the options name. */
 class Frontend
 {
 public:
@@ -260,7 +262,7 @@
 
   static std::optional<Request> Read(int aSocket)
   {
-    const std::string head = test::ReadHead(aSocket, kIdleMs);
+    const std::string head = test::ReadHead(aSocket, kIdleTimeoutMs);
     if (head.empty()) {
       return std::nullopt;
     }
@@ -286,29 +288,29 @@
 
   void Serve(int aSocket)
   {
-    bool isKept = false;
+    bool isReused = false;
     while (auto request = Read(aSocket)) {
       const bool isOrder =
         request->m_target.rfind("/bamboostile/machine-", 0) == 0;
       if (!isOrder) {
         Answer(aSocket, Handle(*request));
-      } else if (!Order(aSocket, *request, isKept)) {
+      } else if (!HandleOrder(aSocket, *request, isReused)) {
         return;
       }
-      isKept = true;
+      isReused = true;
     }
   }
 
-  /** Whether the connection stays open. */
-  bool Order(int aSocket, const Request& aRequest, bool aIsKept)
+  /** Serves an order; returns whether the connection stays open. */
+  bool HandleOrder(int aSocket, const Request& aRequest, bool aIsReused)
   {
     Print("order " + aRequest.m_target + " " + aRequest.m_body);
-    const bool fails = ++m_orders % m_options.m_failsEvery == 0;
-    switch (fails ? m_options.m_failure : Failure::kNone) {
+    const bool isFailing = ++m_orders % m_options.m_failEvery == 0;
+    switch (isFailing ? m_options.m_failure : Failure::kNone) {
       case Failure::kNone:
         break;
-      case Failure::kKeptClosed:
-        if (aIsKept) {
+      case Failure::kReusedClosed:
+        if (aIsReused) {
           Handle(aRequest);
           return false;
         }
@@ -327,12 +329,12 @@
         return true;
       case Failure::kAnsweredLate: {
         const Reply reply = Handle(aRequest);
-        std::this_thread::sleep_for(kAnswerLate);
+        std::this_thread::sleep_for(kLateAnswerDelay);
         Answer(aSocket, reply);
         return true;
       }
-      case Failure::kObeyedLate:
-        std::this_thread::sleep_for(kObeyLate);
+      case Failure::kExecutedLate:
+        std::this_thread::sleep_for(kLateExecutionDelay);
         Handle(aRequest);
         return false;
     }
@@ -376,25 +378,26 @@
   Options options;
   std::vector<std::string> instances;
   std::string failure = "none";
-  po::options_description known("fake_platform");
-  known.add_options()("port", po::value(&options.m_port)->required())(
+  po::options_description description("fake_platform");
+  description.add_options()("port", po::value(&options.m_port)->required())(
     "instance",
     po::value(&instances)->multitoken()->required(),
     "NAME=IP:PORT")("down-ms", po::value(&options.m_downMs))(
     "fails", po::value(&failure))("fails-every",
-                                  po::value(&options.m_failsEvery));
+                                  po::value(&options.m_failEvery));
   try {
     po::variables_map values;
-    po::store(po::parse_command_line(aCount, aArguments, known), values);
+    po::store(po::parse_command_line(aCount, aArguments, description), values);
     po::notify(values);
     options.m_failure = kFailures.at(failure);
   } catch (const std::exception& error) {
     std::cerr << "fake_platform: " << error.what() << "\n";
     return 2;
   }
-  for (const std::string& one : instances) {
-    const std::size_t equals = one.find('=');
-    options.m_addresses[one.substr(0, equals)] = one.substr(equals + 1);
+  for (const std::string& instance : instances) {
+    const std::size_t equals = instance.find('=');
+    options.m_addresses[instance.substr(0, equals)] =
+      instance.substr(equals + 1);
   }
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGTERM, [](int) { g_stop = true; });
@@ -402,6 +405,6 @@
   while (!g_stop) {
     std::this_thread::sleep_for(std::chrono::milliseconds{ 20 });
   }
-  // Idle connections would hold the end up.
+  // Exits without destructors, which would wait for idle connections.
   std::_Exit(0);
 }
--- a/fakes/upstream.cpp
+++ b/fakes/upstream.cpp
@@ -1,5 +1,6 @@
-// A small upstream: announces itself, serves requests in its slots, counts
-// how often each request id ran, and misbehaves on demand.
+// A fake upstream: announces itself to the entries, serves requests in its
+// slots, counts the executions of each request id, and fails or hangs on
+// demand.
 
 #include "bamboostile/http/client.h"
 #include "bamboostile/http/server.h"
@@ -36,13 +37,13 @@
   std::uint64_t m_incarnation = 1;
 };
 
-/** How the next requests are treated; set by PUT /fake/mode. */
+/** How requests are served; set by PUT /fake/mode. */
 enum class Mode
 {
   kServe,
-  /** Answer 500 at once. */
+  /** Answers 500 without delay. */
   kFail,
-  /** Run, then never answer. */
+  /** Runs requests but withholds the answers. */
   kHang,
 };
 
@@ -87,13 +88,13 @@
   {
     const http::Request& request = aExchange->Incoming();
     if (request.m_target.rfind("/fake/", 0) == 0) {
-      Control(*aExchange);
+      HandleControl(*aExchange);
       return;
     }
     if (m_running.size() < m_options.m_slots) {
       Run(std::move(aExchange));
     } else {
-      m_waiting.push_back(std::move(aExchange));
+      m_queued.push_back(std::move(aExchange));
     }
   }
 
@@ -120,9 +121,9 @@
       Finish(*m_running[i].m_exchange);
       m_running[i] = std::move(m_running.back());
       m_running.pop_back();
-      if (!m_waiting.empty()) {
-        Run(std::move(m_waiting.front()));
-        m_waiting.pop_front();
+      if (!m_queued.empty()) {
+        Run(std::move(m_queued.front()));
+        m_queued.pop_front();
       }
     }
   }
@@ -143,7 +144,7 @@
     aExchange.Respond(std::move(response));
   }
 
-  void Control(http::Exchange& aExchange)
+  void HandleControl(http::Exchange& aExchange)
   {
     const http::Request& request = aExchange.Incoming();
     http::Response response;
@@ -152,12 +153,12 @@
     } else if (request.m_target == "/fake/mode") {
       SetMode(request.m_body);
     } else if (request.m_target == "/fake/announce") {
-      m_announces = request.m_body != "off";
+      m_isAnnouncing = request.m_body != "off";
     } else if (request.m_target == "/fake/leave") {
-      m_leaving = true;
+      m_isLeaving = true;
       Announce("leaving");
     } else if (request.m_target == "/fake/return") {
-      m_leaving = false;
+      m_isLeaving = false;
       Announce("up");
     } else if (request.m_target == "/fake/restart") {
       ++m_incarnation;
@@ -180,30 +181,31 @@
 
   void Announce(const std::string& aState)
   {
-    if (!m_announces || m_options.m_entries.empty()) {
+    if (!m_isAnnouncing || m_options.m_entries.empty()) {
       return;
     }
-    // Entry after entry, as a balancer would spread them.
+    // Round robin over the entries, as behind a load balancer.
     const std::string& entry =
-      m_options.m_entries[m_next++ % m_options.m_entries.size()];
-    const Json said{ { "incarnation", m_incarnation },
-                     { "sequence", ++m_sequence },
-                     { "service", m_options.m_service },
-                     { "zone", m_options.m_zone },
-                     { "rack", m_options.m_rack },
-                     { "address",
-                       "127.0.0.1:" + std::to_string(m_options.m_port) },
-                     { "slots", m_options.m_slots },
-                     { "connections", 64 },
-                     { "cores", 16 },
-                     { "memoryMb", 32768 },
-                     { "accelerators", 0 },
-                     { "state", m_leaving ? "leaving" : aState } };
+      m_options.m_entries[m_nextEntry++ % m_options.m_entries.size()];
+    const Json announcement{
+      { "incarnation", m_incarnation },
+      { "sequence", ++m_sequence },
+      { "service", m_options.m_service },
+      { "zone", m_options.m_zone },
+      { "rack", m_options.m_rack },
+      { "address", "127.0.0.1:" + std::to_string(m_options.m_port) },
+      { "slots", m_options.m_slots },
+      { "connections", 64 },
+      { "cores", 16 },
+      { "memoryMb", 32768 },
+      { "accelerators", 0 },
+      { "state", m_isLeaving ? "leaving" : aState }
+    };
     http::Call call;
     call.m_address = entry;
     call.m_method = "PUT";
     call.m_target = "/v1/upstreams/" + m_options.m_id;
-    call.m_body = std::make_shared<const std::string>(said.dump());
+    call.m_body = std::make_shared<const std::string>(announcement.dump());
     call.m_timeout = Millis{ 4000 };
     call.m_onlyOnce = false;
     m_client.Start(std::move(call), [](const http::CallResult&) {});
@@ -212,12 +214,12 @@
   Options m_options;
   std::uint64_t m_incarnation;
   std::uint64_t m_sequence = 0;
-  bool m_announces = true;
-  bool m_leaving = false;
-  std::size_t m_next = 0;
+  bool m_isAnnouncing = true;
+  bool m_isLeaving = false;
+  std::size_t m_nextEntry = 0;
   Mode m_mode = Mode::kServe;
   std::vector<Running> m_running;
-  std::deque<std::shared_ptr<http::Exchange>> m_waiting;
+  std::deque<std::shared_ptr<http::Exchange>> m_queued;
   std::map<std::string, std::uint64_t> m_runs;
   std::uint64_t m_total = 0;
   http::Client m_client;
@@ -230,8 +232,8 @@
 main(int aCount, char** aArguments)
 {
   Options options;
-  po::options_description known("fake_upstream");
-  known.add_options()("id", po::value(&options.m_id)->required())(
+  po::options_description description("fake_upstream");
+  description.add_options()("id", po::value(&options.m_id)->required())(
     "service", po::value(&options.m_service)->required())(
     "zone", po::value(&options.m_zone)->required())(
     "rack", po::value(&options.m_rack)->required())(
@@ -243,7 +245,7 @@
     "incarnation", po::value(&options.m_incarnation));
   try {
     po::variables_map values;
-    po::store(po::parse_command_line(aCount, aArguments, known), values);
+    po::store(po::parse_command_line(aCount, aArguments, description), values);
     po::notify(values);
   } catch (const po::error& error) {
     std::cerr << error.what() << "\n";
--- a/fakes/worker.cpp
+++ b/fakes/worker.cpp
@@ -1,7 +1,8 @@
-// A small worker: reports to whichever control replica leads, runs tasks by
-// waiting for their time, and prints each start and each end as done that was
-// noted. SIGUSR1 crashes it; it starts again, under its id. So does POST
-// /fake/restart?downMs=N&service=NAME, as the platform does with an instance.
+// A fake worker: reports to the leader of the control replicas, runs a task by
+// waiting for a fixed time, and prints "start" for each start and "noted" for
+// each successful end that the leader has acknowledged. SIGUSR1 simulates a
+// crash and restart of the process, by default under the same id. POST
+// /fake/restart?downMs=N&service=NAME simulates a restart by the platform.
 
 #include "bamboostile/http/client.h"
 #include "bamboostile/http/server.h"
@@ -32,19 +33,20 @@
   std::vector<std::string> m_control;
   unsigned m_cpuMillis = 4000;
   unsigned m_taskMs = 50;
-  /** Starting a task with this payload crashes the worker; empty for none. */
+  /** A task with this payload crashes the worker at its start; empty for
+   * none. */
   std::string m_crashPayload;
   unsigned m_restartMs = 2000;
-  /** Another id for each life, and no word of when it started. */
-  bool m_hasNewIds = false;
-  /** For restarts by the platform; 0 for none. */
+  /** Use another worker id for each incarnation, and omit its start time. */
+  bool m_newIdPerIncarnation = false;
+  /** HTTP port on which the platform requests restarts; 0 for none. */
   std::uint16_t m_port = 0;
 };
 
-/** A restart that the platform asks for. */
-struct Restart
+/** A restart requested by the platform. */
+struct RestartRequest
 {
-  Millis m_down{};
+  Millis m_downtime{};
   std::string m_service;
 };
 
@@ -59,11 +61,11 @@
   return aTarget.substr(from, aTarget.find('&', from) - from);
 }
 
-/** A run under way. */
-struct Running
+/** An active run of a task. */
+struct ActiveRun
 {
   Json m_order;
-  TimePoint m_since;
+  TimePoint m_startedAt;
 };
 
 class Worker
@@ -90,21 +92,21 @@
 
   void Run()
   {
-    Start();
+    SetStartTime();
     while (!g_stop) {
       if (g_crash.exchange(false)) {
         m_isCrashed = true;
       }
-      EndWhatIsDone();
+      FinishRuns();
       const Json answer = Report();
       if (!answer.is_null()) {
-        Obey(answer);
+        ApplyAnswer(answer);
       }
-      if (const auto restart = TakeRestart()) {
+      if (const auto restart = TakeRestartRequest()) {
         m_options.m_service = restart->m_service;
-        GoDown(restart->m_down);
+        SimulateDowntime(restart->m_downtime);
       } else if (m_isCrashed) {
-        GoDown(Millis{ m_options.m_restartMs });
+        SimulateDowntime(Millis{ m_options.m_restartMs });
       }
       std::this_thread::sleep_for(Millis{ 20 });
     }
@@ -112,7 +114,7 @@
   }
 
 private:
-  void Start()
+  void SetStartTime()
   {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     m_startedAtMs = std::chrono::duration_cast<Millis>(now).count();
@@ -120,11 +122,12 @@
 
   Json Identity() const
   {
-    return m_options.m_hasNewIds ? Json::object()
-                                 : Json{ { "startedAtMs", m_startedAtMs } };
+    return m_options.m_newIdPerIncarnation
+             ? Json::object()
+             : Json{ { "startedAtMs", m_startedAtMs } };
   }
 
-  void EndWhatIsDone()
+  void FinishRuns()
   {
     const TimePoint now = MonotonicNow();
     if (now > m_leaseEnd) {
@@ -134,8 +137,8 @@
       m_running.clear();
     }
     std::erase_if(m_running, [&](const auto& aEntry) {
-      const Running& run = aEntry.second;
-      if (now < run.m_since + Millis{ m_options.m_taskMs }) {
+      const ActiveRun& run = aEntry.second;
+      if (now < run.m_startedAt + Millis{ m_options.m_taskMs }) {
         return false;
       }
       AddEnd(run.m_order, "done");
@@ -148,47 +151,49 @@
     const std::string& target = aExchange.Incoming().m_target;
     {
       const std::lock_guard lock(m_mutex);
-      m_restart = Restart{ Millis{ std::stol(QueryValue(target, "downMs")) },
-                           QueryValue(target, "service") };
+      m_restartRequest =
+        RestartRequest{ Millis{ std::stol(QueryValue(target, "downMs")) },
+                        QueryValue(target, "service") };
     }
     aExchange.Respond(http::Response{});
   }
 
-  std::optional<Restart> TakeRestart()
+  std::optional<RestartRequest> TakeRestartRequest()
   {
     const std::lock_guard lock(m_mutex);
-    return std::exchange(m_restart, std::nullopt);
+    return std::exchange(m_restartRequest, std::nullopt);
   }
 
-  /** Comes back as another life of the same instance, with nothing running. */
-  void GoDown(Millis aTime)
+  /** Sleeps, then continues as a new incarnation on the same instance, without
+   * runs. */
+  void SimulateDowntime(Millis aDowntime)
   {
     m_isCrashed = false;
-    ++m_life;
+    ++m_incarnation;
     m_sequence = 0;
     m_lastEnd = 0;
     m_fencingToken = 0;
     m_running.clear();
-    m_ended.clear();
-    std::this_thread::sleep_for(aTime);
-    Start();
+    m_endReports.clear();
+    std::this_thread::sleep_for(aDowntime);
+    SetStartTime();
   }
 
   std::string Id() const
   {
-    return m_life == 0 || !m_options.m_hasNewIds
+    return m_incarnation == 0 || !m_options.m_newIdPerIncarnation
              ? m_options.m_id
-             : m_options.m_id + "-" + std::to_string(m_life);
+             : m_options.m_id + "-" + std::to_string(m_incarnation);
   }
 
-  void AddEnd(const Json& aOrder, const char* aHow)
+  void AddEnd(const Json& aOrder, const char* aEndReason)
   {
     Json end = aOrder;
     end["number"] = ++m_lastEnd;
-    end["how"] = aHow;
+    end["how"] = aEndReason;
     end["checkpoint"] = "";
     end.erase("payload");
-    m_ended.push_back(std::move(end));
+    m_endReports.push_back(std::move(end));
   }
 
   Json Report()
@@ -200,7 +205,7 @@
                     { "memoryMb", 4096 },
                     { "sequence", ++m_sequence },
                     { "active", Json::array() },
-                    { "ended", m_ended } });
+                    { "ended", m_endReports } });
     for (const auto& [key, run] : m_running) {
       Json row = run.m_order;
       row["percent"] = 100;
@@ -211,12 +216,12 @@
     return Post("/report", report);
   }
 
-  Json Post(const std::string& aWhat, const Json& aBody)
+  Json Post(const std::string& aAction, const Json& aBody)
   {
     http::Call call;
-    call.m_address = m_options.m_control[m_next];
+    call.m_address = m_options.m_control[m_nextControl];
     call.m_method = "POST";
-    call.m_target = "/v1/workers/" + Id() + aWhat;
+    call.m_target = "/v1/workers/" + Id() + aAction;
     call.m_body = std::make_shared<const std::string>(aBody.dump());
     call.m_timeout = std::chrono::seconds{ 1 };
     call.m_onlyOnce = false;
@@ -227,26 +232,26 @@
     const http::CallResult result = done.get_future().get();
     if (result.m_end != http::CallEnd::kAnswered ||
         result.m_response.m_status != 200) {
-      m_next = (m_next + 1) % m_options.m_control.size();
+      m_nextControl = (m_nextControl + 1) % m_options.m_control.size();
       return nullptr;
     }
     return Json::parse(result.m_response.m_body, nullptr, false);
   }
 
-  void Obey(const Json& aAnswer)
+  void ApplyAnswer(const Json& aAnswer)
   {
     if (aAnswer.at("fencingToken") < m_fencingToken) {
       return;
     }
     m_fencingToken = aAnswer.at("fencingToken").get<std::uint64_t>();
     m_leaseEnd = m_sentAt + Millis{ aAnswer.at("leaseMs").get<unsigned>() };
-    const auto noted = aAnswer.at("ackedUpTo").get<std::uint64_t>();
-    std::erase_if(m_ended, [&](const Json& aEnd) {
-      const bool isNoted = aEnd.at("number").get<std::uint64_t>() <= noted;
-      if (isNoted && aEnd.at("how") == "done") {
+    const auto ackedUpTo = aAnswer.at("ackedUpTo").get<std::uint64_t>();
+    std::erase_if(m_endReports, [&](const Json& aEnd) {
+      const bool isAcked = aEnd.at("number").get<std::uint64_t>() <= ackedUpTo;
+      if (isAcked && aEnd.at("how") == "done") {
         std::cout << "noted " << KeyOf(aEnd) << std::endl;
       }
-      return isNoted;
+      return isAcked;
     });
     for (const Json& order : aAnswer.at("stop")) {
       const auto found = m_running.find(KeyOf(order));
@@ -256,7 +261,8 @@
       }
     }
     for (const Json& order : aAnswer.at("start")) {
-      if (m_running.try_emplace(KeyOf(order), Running{ order, MonotonicNow() })
+      if (m_running
+            .try_emplace(KeyOf(order), ActiveRun{ order, MonotonicNow() })
             .second) {
         std::cout << "start " << KeyOf(order) << std::endl;
         m_isCrashed = m_isCrashed || Crashes(order);
@@ -281,9 +287,9 @@
   http::Client m_client;
   std::unique_ptr<http::Server> m_server;
   std::mutex m_mutex;
-  std::optional<Restart> m_restart;
-  std::size_t m_next = 0;
-  unsigned m_life = 0;
+  std::optional<RestartRequest> m_restartRequest;
+  std::size_t m_nextControl = 0;
+  unsigned m_incarnation = 0;
   std::int64_t m_startedAtMs = 0;
   bool m_isCrashed = false;
   std::uint64_t m_sequence = 0;
@@ -291,8 +297,8 @@
   std::uint64_t m_fencingToken = 0;
   TimePoint m_sentAt;
   TimePoint m_leaseEnd;
-  std::map<std::string, Running> m_running;
-  std::vector<Json> m_ended;
+  std::map<std::string, ActiveRun> m_running;
+  std::vector<Json> m_endReports;
 };
 
 } // namespace
@@ -301,26 +307,26 @@
 main(int aCount, char** aArguments)
 {
   Options options;
-  po::options_description known("fake_worker");
-  known.add_options()("id", po::value(&options.m_id)->required())(
+  po::options_description description("fake_worker");
+  description.add_options()("id", po::value(&options.m_id)->required())(
     "service", po::value(&options.m_service)->required())(
     "control", po::value(&options.m_control)->multitoken()->required())(
     "cpu-millis",
     po::value(&options.m_cpuMillis))("task-ms", po::value(&options.m_taskMs))(
     "crash-payload", po::value(&options.m_crashPayload))(
     "restart-ms", po::value(&options.m_restartMs))(
-    "new-ids",
-    po::bool_switch(&options.m_hasNewIds))("port", po::value(&options.m_port));
+    "new-ids", po::bool_switch(&options.m_newIdPerIncarnation))(
+    "port", po::value(&options.m_port));
   try {
     po::variables_map values;
-    po::store(po::parse_command_line(aCount, aArguments, known), values);
+    po::store(po::parse_command_line(aCount, aArguments, description), values);
     po::notify(values);
   } catch (const po::error& error) {
     std::cerr << "fake_worker: " << error.what() << "\n";
     return 2;
   }
   std::signal(SIGTERM, [](int) { g_stop = true; });
-  // Crashes, and starts again.
+  // Simulates a crash and restart.
   std::signal(SIGUSR1, [](int) { g_crash = true; });
   std::signal(SIGPIPE, SIG_IGN);
   Worker worker(std::move(options));
