--- a/benchmark/decisions.cpp
+++ b/benchmark/decisions.cpp
@@ -1,5 +1,6 @@
-// What one decision costs as the number of upstreams grows: it should stay
-// near flat. Also the engine from arrival to final word.
+// Measures the time of one routing decision, and of one request in the engine
+// from arrival to final answer, as the number of upstreams grows. Both should
+// stay nearly constant.
 
 #include "report.h"
 
@@ -13,19 +14,19 @@
 using namespace bamboostile;
 
 constexpr TimePoint kStart{ std::chrono::hours{ 1 } };
-constexpr int kRounds = 400'000;
+constexpr int kIterations = 400'000;
 constexpr std::uint32_t kEntries = 12;
 
 double
-NanosSince(std::chrono::steady_clock::time_point aStart, int aRounds)
+NanosSince(std::chrono::steady_clock::time_point aStart, int aIterations)
 {
-  const std::chrono::duration<double, std::nano> took =
+  const std::chrono::duration<double, std::nano> elapsed =
     std::chrono::steady_clock::now() - aStart;
-  return took.count() / aRounds;
+  return elapsed.count() / aIterations;
 }
 
 fleet::Instance
-Upstream(std::size_t aNumber)
+MakeUpstream(std::size_t aNumber)
 {
   fleet::Instance instance;
   instance.m_announced.m_id = InstanceId{ "w" + std::to_string(aNumber) };
@@ -37,21 +38,21 @@
   return instance;
 }
 
-/** Keeps some requests under way, as in service. */
+/** Time of one choice and one finish in ns, with 16 requests in flight. */
 double
 ChooseAndFinish(std::size_t aUpstreams)
 {
   routing::Router router({}, ZoneId{ "z0" });
   for (std::size_t i = 0; i < aUpstreams; ++i) {
-    router.Update(Upstream(i), true);
+    router.Update(MakeUpstream(i), true);
   }
   router.SetShare(3, kEntries);
   std::vector<InstanceId> running;
   const auto start = std::chrono::steady_clock::now();
-  for (int i = 0; i < kRounds; ++i) {
+  for (int i = 0; i < kIterations; ++i) {
     const TimePoint now = kStart + Duration{ i };
-    if (const auto pick = router.Choose({}, now)) {
-      running.push_back(pick->m_instance);
+    if (const auto choice = router.Choose({}, now)) {
+      running.push_back(choice->m_instance);
     }
     if (running.size() > 16) {
       router.Finish(running[i % 16], routing::Verdict::kGood, Millis{ 5 }, now);
@@ -59,7 +60,7 @@
       running.pop_back();
     }
   }
-  return NanosSince(start, kRounds);
+  return NanosSince(start, kIterations);
 }
 
 double
@@ -78,12 +79,12 @@
   pool.m_service = service.m_id;
   view.m_pools.push_back(pool);
   for (std::size_t i = 0; i < aUpstreams; ++i) {
-    view.m_instances.push_back(Upstream(i));
+    view.m_instances.push_back(MakeUpstream(i));
   }
   engine.OnView(view, kStart);
   engine.OnLease(kStart + std::chrono::hours{ 1 }, 3, kEntries, kStart);
   const auto start = std::chrono::steady_clock::now();
-  for (int i = 0; i < kRounds; ++i) {
+  for (int i = 0; i < kIterations; ++i) {
     const TimePoint now = kStart + Duration{ i };
     const request::LocalId local{ static_cast<std::uint64_t>(i) };
     request::Arrival arrival;
@@ -99,7 +100,7 @@
     engine.OnAttempt(local, 1, result, now);
     engine.TakeActions();
   }
-  return NanosSince(start, kRounds);
+  return NanosSince(start, kIterations);
 }
 
 } // namespace
@@ -117,15 +118,15 @@
               << " ns, arrival to answer "
               << report.Get("arrival to answer, ns at " + count) << " ns\n";
   }
-  report.Bound("choose and finish at 3000 beside 50 upstreams",
-               report.Get("choose and finish, ns at 3000") /
-                 report.Get("choose and finish, ns at 50"),
-               0.2,
-               5);
-  report.Bound("arrival to answer at 3000 beside 50 upstreams",
-               report.Get("arrival to answer, ns at 3000") /
-                 report.Get("arrival to answer, ns at 50"),
-               0.2,
-               5);
+  report.AddBound("choose and finish at 3000 beside 50 upstreams",
+                  report.Get("choose and finish, ns at 3000") /
+                    report.Get("choose and finish, ns at 50"),
+                  0.2,
+                  5);
+  report.AddBound("arrival to answer at 3000 beside 50 upstreams",
+                  report.Get("arrival to answer, ns at 3000") /
+                    report.Get("arrival to answer, ns at 50"),
+                  0.2,
+                  5);
   return report.Finish();
 }
--- a/benchmark/jobs.cpp
+++ b/benchmark/jobs.cpp
@@ -1,5 +1,5 @@
-// What one job, start, end and report cost the leader, and how a pass of
-// placing grows with the workers.
+// Measures the leader's time and log bytes for one job, start, end and report,
+// and how the time of a placement pass grows with the number of workers.
 
 #include "bamboostile/placement/planner.h"
 
@@ -12,24 +12,24 @@
 
 using namespace bamboostile;
 
-constexpr std::size_t kTasksOfJob = 8;
-constexpr std::size_t kTasksOfWorker = 8;
-constexpr int kPasses = 20;
+constexpr std::size_t kTasksPerJob = 8;
+constexpr std::size_t kTasksPerWorker = 8;
+constexpr int kPlanningPasses = 20;
 constexpr TimePoint kNow{ Millis{ 1'000'000 } };
 
 double
 MicrosSince(std::chrono::steady_clock::time_point aStart, double aCount)
 {
-  const std::chrono::duration<double, std::micro> took =
+  const std::chrono::duration<double, std::micro> elapsed =
     std::chrono::steady_clock::now() - aStart;
-  return took.count() / aCount;
+  return elapsed.count() / aCount;
 }
 
 jobs::JobSpec
-Spec()
+MakeSpec()
 {
   jobs::StepSpec step;
-  step.m_count = kTasksOfJob;
+  step.m_count = kTasksPerJob;
   step.m_needs = { 1000, 1000, 0 };
   step.m_estimate = Millis{ 1000 };
   return { std::string(1000, 'x'), { step }, 0, WallTime{}, Millis{} };
@@ -65,7 +65,8 @@
     Apply(fleet::ReplaceRoutes{ table });
   }
 
-  /** Decodes as a replica does; returns the bytes in the log. */
+  /** Encodes, decodes and applies a command, as a replica does. Returns its
+   * size in the log in bytes. */
   std::size_t Apply(const fleet::Command& aCommand)
   {
     const std::string bytes = fleet::EncodeCommand(aCommand);
@@ -76,45 +77,50 @@
 
   void Report(const std::string& aCount, benchmark::Report& aReport)
   {
-    const std::size_t jobs = m_workers * kTasksOfWorker / kTasksOfJob;
+    const std::size_t jobs = m_workers * kTasksPerWorker / kTasksPerJob;
     std::size_t bytes = 0;
     auto start = std::chrono::steady_clock::now();
     for (std::size_t i = 0; i < jobs; ++i) {
-      bytes += Apply(jobs::Batch{ { jobs::Submit{
-        JobId{ JobName(i) }, QueueId{ "host/q/" }, Spec(), WallTime{ 1 } } } });
+      bytes += Apply(jobs::Batch{ { jobs::Submit{ JobId{ JobName(i) },
+                                                  QueueId{ "host/q/" },
+                                                  MakeSpec(),
+                                                  WallTime{ 1 } } } });
     }
     const auto count = static_cast<double>(jobs);
     aReport.Set("job, us at " + aCount, MicrosSince(start, count));
     aReport.Set("job, log bytes", static_cast<double>(bytes) / count);
     start = std::chrono::steady_clock::now();
     for (std::size_t i = 0; i < m_workers; ++i) {
-      Hear(i, 1);
+      ReportWorker(i, 1);
     }
     aReport.Set("report, us at " + aCount,
                 MicrosSince(start, static_cast<double>(m_workers)));
     start = std::chrono::steady_clock::now();
     placement::Plan plan;
-    for (int i = 0; i < kPasses; ++i) {
-      plan = Pass();
+    for (int i = 0; i < kPlanningPasses; ++i) {
+      plan = ComputePlan();
     }
     aReport.Set("pass of placing, us at " + aCount,
-                MicrosSince(start, kPasses));
+                MicrosSince(start, kPlanningPasses));
     const auto starts = static_cast<double>(plan.m_changes.size());
     start = std::chrono::steady_clock::now();
     bytes = Apply(jobs::Batch{ plan.m_changes });
     aReport.Set("start, us at " + aCount, MicrosSince(start, starts));
     aReport.Set("start, log bytes", static_cast<double>(bytes) / starts);
     start = std::chrono::steady_clock::now();
-    for (int i = 0; i < kPasses; ++i) {
-      Pass();
+    for (int i = 0; i < kPlanningPasses; ++i) {
+      ComputePlan();
     }
     aReport.Set("pass with all placed, us at " + aCount,
-                MicrosSince(start, kPasses));
+                MicrosSince(start, kPlanningPasses));
     jobs::Batch ends;
     for (const jobs::Change& change : plan.m_changes) {
-      const auto& one = std::get<jobs::StartRun>(change);
-      ends.m_changes.emplace_back(jobs::EndRun{
-        one.m_task, one.m_run, jobs::RunEnd::kDone, "", WallTime{ 2 } });
+      const auto& startRun = std::get<jobs::StartRun>(change);
+      ends.m_changes.emplace_back(jobs::EndRun{ startRun.m_task,
+                                                startRun.m_run,
+                                                jobs::RunEnd::kDone,
+                                                "",
+                                                WallTime{ 2 } });
     }
     start = std::chrono::steady_clock::now();
     bytes = Apply(ends);
@@ -123,18 +129,18 @@
   }
 
 private:
-  void Hear(std::size_t aWorker, std::uint64_t aSequence)
+  void ReportWorker(std::size_t aWorker, std::uint64_t aSequence)
   {
     placement::WorkerReport report;
     report.m_worker = { WorkerId{ WorkerName(aWorker) } };
     report.m_instance = InstanceId{ "m-" + std::to_string(aWorker) };
     report.m_service = ServiceId{ "s" };
-    report.m_capacity = { 1000 * kTasksOfWorker, 32'000, 0 };
+    report.m_capacity = { 1000 * kTasksPerWorker, 32'000, 0 };
     report.m_sequence = aSequence;
     m_table.OnReport(report, m_state.Jobs(), kNow, WallTime{ 1 });
   }
 
-  placement::Plan Pass()
+  placement::Plan ComputePlan()
   {
     return m_planner.Next(m_state, m_table, {}, kNow, WallTime{ 1 });
   }
@@ -169,13 +175,13 @@
        { "job, log bytes", "start, log bytes", "end, log bytes" }) {
     std::cout << figure << ": " << report.Get(figure) << "\n";
   }
-  // Single changes must not cost more as the fleet grows.
+  // The time of a single change must not grow with the fleet.
   for (const char* figure : { "job, us at ", "start, us at ", "end, us at " }) {
     const std::string name = figure;
-    report.Bound(name + "350 beside 50",
-                 report.Get(name + "350") / report.Get(name + "50"),
-                 0.1,
-                 4);
+    report.AddBound(name + "350 beside 50",
+                    report.Get(name + "350") / report.Get(name + "50"),
+                    0.1,
+                    4);
   }
   return report.Finish();
 }
--- a/benchmark/report.cpp
+++ b/benchmark/report.cpp
@@ -29,12 +29,12 @@
 }
 
 void
-Report::Bound(const std::string& aRatio,
-              double aValue,
-              double aLeast,
-              double aMost)
+Report::AddBound(const std::string& aRatio,
+                 double aValue,
+                 double aMin,
+                 double aMax)
 {
-  m_bounds.push_back({ aRatio, aValue, aLeast, aMost });
+  m_bounds.push_back({ aRatio, aValue, aMin, aMax });
 }
 
 int
@@ -50,32 +50,32 @@
   out << "\n  },\n  \"bounds\": [";
   separator = "\n";
   int code = 0;
-  for (const Bounded& bound : m_bounds) {
+  for (const BoundedRatio& bound : m_bounds) {
     const bool holds =
-      bound.m_value >= bound.m_least && bound.m_value <= bound.m_most;
+      bound.m_value >= bound.m_min && bound.m_value <= bound.m_max;
     code = holds ? code : 1;
     out << separator << "    { \"ratio\": " << std::quoted(bound.m_name)
-        << ", \"value\": " << bound.m_value << ", \"least\": " << bound.m_least
-        << ", \"most\": " << bound.m_most
+        << ", \"value\": " << bound.m_value << ", \"least\": " << bound.m_min
+        << ", \"most\": " << bound.m_max
         << ", \"holds\": " << (holds ? "true" : "false") << " }";
     separator = ",\n";
     std::cout << (holds ? "holds  " : "BROKEN ") << bound.m_name << ": "
-              << bound.m_value << " in [" << bound.m_least << ", "
-              << bound.m_most << "]\n";
+              << bound.m_value << " in [" << bound.m_min << ", " << bound.m_max
+              << "]\n";
   }
   out << "\n  ]\n}\n";
   return code;
 }
 
 double
-Quantile(std::vector<double> aValues, double aShare)
+Quantile(std::vector<double> aValues, double aFraction)
 {
   if (aValues.empty()) {
     return 0;
   }
   std::sort(aValues.begin(), aValues.end());
   return aValues[static_cast<std::size_t>(
-    aShare * static_cast<double>(aValues.size() - 1))];
+    aFraction * static_cast<double>(aValues.size() - 1))];
 }
 
 double
@@ -83,17 +83,17 @@
 {
   std::timespec time{};
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &time);
-  constexpr double kNanos = 1e9;
+  constexpr double kNanosPerSecond = 1e9;
   return static_cast<double>(time.tv_sec) +
-         static_cast<double>(time.tv_nsec) / kNanos;
+         static_cast<double>(time.tv_nsec) / kNanosPerSecond;
 }
 
 double
 AllocatedKiB()
 {
-  constexpr double kKiB = 1024;
+  constexpr double kBytesPerKiB = 1024;
   const auto info = mallinfo2();
-  return static_cast<double>(info.uordblks + info.hblkhd) / kKiB;
+  return static_cast<double>(info.uordblks + info.hblkhd) / kBytesPerKiB;
 }
 
 } // namespace bamboostile::benchmark
--- a/benchmark/report.h
+++ b/benchmark/report.h
@@ -7,10 +7,10 @@
 namespace bamboostile::benchmark {
 
 /**
- * @brief Collects the figures of one run, and holds ratios within bounds.
+ * @brief Collects the figures of one run and checks ratios against bounds.
  *
- * Only ratios of figures from the same run are bounded, so that the verdict
- * does not depend on the machine.
+ * Only ratios of figures from the same run have bounds, so that the result does
+ * not depend on the machine.
  */
 class Report
 {
@@ -19,34 +19,36 @@
 
   void Set(const std::string& aFigure, double aValue);
   double Get(const std::string& aFigure) const;
-  void Bound(const std::string& aRatio,
-             double aValue,
-             double aLeast,
-             double aMost);
+  void AddBound(const std::string& aRatio,
+                double aValue,
+                double aMin,
+                double aMax);
 
-  /** Writes NAME.json to the working folder; returns 1 if a bound broke. */
+  /** Writes NAME.json to the working directory. Returns 1 if a ratio is out of
+   * its bounds. */
   int Finish() const;
 
 private:
-  struct Bounded
+  struct BoundedRatio
   {
     std::string m_name;
     double m_value;
-    double m_least;
-    double m_most;
+    double m_min;
+    double m_max;
   };
 
   std::string m_name;
   std::map<std::string, double> m_figures;
-  std::vector<Bounded> m_bounds;
+  std::vector<BoundedRatio> m_bounds;
 };
 
-double Quantile(std::vector<double> aValues, double aShare);
+/** The value at a fraction of the sorted values, or 0 if there are none. */
+double Quantile(std::vector<double> aValues, double aFraction);
 
-/** Seconds of processor time of this process. */
+/** CPU time of this process in seconds. */
 double ProcessorSeconds();
 
-/** Memory in use by this process's objects, in KiB. */
+/** Heap memory in use by this process, in KiB. */
 double AllocatedKiB();
 
 } // namespace bamboostile::benchmark
--- a/benchmark/state.cpp
+++ b/benchmark/state.cpp
@@ -1,6 +1,6 @@
-// The replicated state and its disk: memory and snapshot as the fleet grows,
-// restart time as the changes grow, and commits beside a naive version that
-// syncs each command by itself.
+// Measures the replicated state and its storage: memory and snapshot size as
+// the fleet grows, restart time as the log grows, and the commit rate of
+// batches compared with one sync for each command.
 
 #include "report.h"
 
@@ -32,14 +32,14 @@
 }
 
 fleet::State
-Fleet(std::size_t aInstances)
+MakeFleet(std::size_t aInstances)
 {
   fleet::State state;
   std::uint64_t index = 0;
   const auto apply = [&](const fleet::Command& aCommand) {
     state.Apply(Index{ ++index }, aCommand);
   };
-  const auto call = [&](fleet::Call aCall) {
+  const auto submit = [&](fleet::Call aCall) {
     fleet::OperatorCall operation;
     operation.m_operation = OperationId{ "op" + std::to_string(index) };
     operation.m_call = std::move(aCall);
@@ -47,34 +47,34 @@
   };
   fleet::Service service;
   service.m_id = ServiceId{ "s" };
-  call(fleet::PutService{ service });
-  call(fleet::PutPool{ PoolId{ "p" }, service.m_id, "home" });
+  submit(fleet::PutService{ service });
+  submit(fleet::PutPool{ PoolId{ "p" }, service.m_id, "home" });
   for (std::size_t i = 0; i < aInstances; ++i) {
-    fleet::Announcement said;
-    said.m_id = InstanceId{ "worker-" + std::to_string(i) };
-    said.m_incarnation = Incarnation{ 1 };
-    said.m_service = service.m_id;
-    said.m_zone = ZoneId{ "west-" + std::to_string(i % 10) };
-    said.m_rack = RackId{ "rack-" + std::to_string(i / 4) };
-    said.m_address = "10.0.0.1:8080";
-    said.m_slots = 8;
-    apply(fleet::AnnounceInstances{ { said } });
+    fleet::Announcement announcement;
+    announcement.m_id = InstanceId{ "worker-" + std::to_string(i) };
+    announcement.m_incarnation = Incarnation{ 1 };
+    announcement.m_service = service.m_id;
+    announcement.m_zone = ZoneId{ "west-" + std::to_string(i % 10) };
+    announcement.m_rack = RackId{ "rack-" + std::to_string(i / 4) };
+    announcement.m_address = "10.0.0.1:8080";
+    announcement.m_slots = 8;
+    apply(fleet::AnnounceInstances{ { announcement } });
   }
   return state;
 }
 
-class Folder
+class TempDataFolder
 {
 public:
-  explicit Folder(const std::string& aName)
+  explicit TempDataFolder(const std::string& aName)
     : m_path(fs::temp_directory_path() /
              (aName + "-" + std::to_string(getpid())))
   {
     fs::remove_all(m_path);
   }
-  ~Folder() { fs::remove_all(m_path); }
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  ~TempDataFolder() { fs::remove_all(m_path); }
+  TempDataFolder(const TempDataFolder&) = delete;
+  TempDataFolder& operator=(const TempDataFolder&) = delete;
 
   std::unique_ptr<storage::LogStore> Open()
   {
@@ -91,7 +91,7 @@
 };
 
 consensus::LogEntry
-Change(std::uint64_t aIndex)
+MakeChange(std::uint64_t aIndex)
 {
   fleet::OperatorCall call;
   call.m_operation = OperationId{ "op" + std::to_string(aIndex) };
@@ -116,23 +116,23 @@
   }
 }
 
-/** Restart: read the folder and bring the state up to date. */
+/** Time to read the data folder and rebuild the state after a restart. */
 double
-RestartMillis(std::size_t aChanges, bool aSnapshots)
+RestartMillis(std::size_t aChanges, bool aWithSnapshots)
 {
-  Folder folder("bench-restart");
+  TempDataFolder folder("bench-restart");
   {
     auto store = folder.Open();
     fleet::State state;
     std::vector<consensus::LogEntry> batch;
     for (std::uint64_t i = 1; i <= aChanges; ++i) {
-      const auto entry = Change(i);
+      const auto entry = MakeChange(i);
       state.Apply(
         entry.m_index,
         *fleet::DecodeCommand(
           std::get<consensus::CommandBytes>(entry.m_payload).m_bytes));
       batch.push_back(entry);
-      if (aSnapshots && i % kSnapshotEvery == 0) {
+      if (aWithSnapshots && i % kSnapshotEvery == 0) {
         consensus::Persist compact;
         compact.m_snapshot =
           consensus::Snapshot{ Index{ i }, Term{ 1 }, {}, state.Encode() };
@@ -166,14 +166,14 @@
 CommitsPerSecond(std::size_t aBatch)
 {
   constexpr std::size_t kCommits = 2000;
-  Folder folder("bench-commits");
+  TempDataFolder folder("bench-commits");
   auto store = folder.Open();
   const auto start = Clock::now();
   std::uint64_t index = 0;
   while (index < kCommits) {
     std::vector<consensus::LogEntry> batch;
     for (std::size_t i = 0; i < aBatch; ++i) {
-      batch.push_back(Change(++index));
+      batch.push_back(MakeChange(++index));
     }
     Write(*store, std::move(batch));
   }
@@ -185,7 +185,7 @@
 {
   const std::string count = std::to_string(aInstances);
   const double before = benchmark::AllocatedKiB();
-  const fleet::State state = Fleet(aInstances);
+  const fleet::State state = MakeFleet(aInstances);
   aReport.Set("state, KiB at " + count, benchmark::AllocatedKiB() - before);
   auto start = Clock::now();
   const std::string bytes = state.Encode();
@@ -250,20 +250,20 @@
                               "commits a second, batch 64" }) {
     std::cout << figure << ": " << report.Get(figure) << "\n";
   }
-  report.Bound("snapshot time at 10000 beside 1000 instances",
-               report.Get("snapshot, ms at 10000") /
-                 report.Get("snapshot, ms at 1000"),
-               3,
-               30);
-  report.Bound("restart with snapshots beside without, after 20000 changes",
-               report.Get("restart, ms after 20000") /
-                 report.Get("restart without snapshots, ms after 20000"),
-               0,
-               0.7);
-  report.Bound("commits in batches of 64 beside one sync each",
-               report.Get("commits a second, batch 64") /
-                 report.Get("commits a second, batch 1"),
-               2,
-               1000);
+  report.AddBound("snapshot time at 10000 beside 1000 instances",
+                  report.Get("snapshot, ms at 10000") /
+                    report.Get("snapshot, ms at 1000"),
+                  3,
+                  30);
+  report.AddBound("restart with snapshots beside without, after 20000 changes",
+                  report.Get("restart, ms after 20000") /
+                    report.Get("restart without snapshots, ms after 20000"),
+                  0,
+                  0.7);
+  report.AddBound("commits in batches of 64 beside one sync each",
+                  report.Get("commits a second, batch 64") /
+                    report.Get("commits a second, batch 1"),
+                  2,
+                  1000);
   return report.Finish();
 }
