--- a/tests/support/check.h
+++ b/tests/support/check.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// CppUTest replaces `new` by a macro that breaks headers of other libraries,
-// and the sanitizers find leaks better; so its leak detection is off.
+// CppUTest's leak detection is off: it replaces `new` by a macro that breaks
+// headers of other libraries, and the sanitizers find leaks better.
 #include <CppUTest/TestHarness.h>
 
 #include <string>
--- a/tests/support/entries.cpp
+++ b/tests/support/entries.cpp
@@ -24,28 +24,29 @@
   , m_entries(aEntries)
 {
   for (std::size_t i = 0; i < aEntries; ++i) {
-    StartLife(i);
+    StartIncarnation(i);
   }
   GrantLeases();
 }
 
 double
-Entries::Chance()
+Entries::RandomFraction()
 {
   return std::uniform_real_distribution<double>{ 0, 1 }(m_random);
 }
 
 Duration
-Entries::UpTo(Duration aMost)
+Entries::RandomUpTo(Duration aMax)
 {
-  return Duration{ static_cast<Duration::rep>(Chance() * aMost.count()) };
+  return Duration{ static_cast<Duration::rep>(RandomFraction() *
+                                              aMax.count()) };
 }
 
 void
-Entries::StartLife(std::size_t aEntry)
+Entries::StartIncarnation(std::size_t aEntry)
 {
   Entry& entry = m_entries[aEntry];
-  ++entry.m_life;
+  ++entry.m_incarnationCount;
   entry.m_frozen = false;
   entry.m_copies.clear();
   entry.m_id = { InstanceId{ "e" + std::to_string(aEntry) },
@@ -59,7 +60,7 @@
 void
 Entries::Restart(std::size_t aEntry)
 {
-  StartLife(aEntry);
+  StartIncarnation(aEntry);
 }
 
 void
@@ -71,7 +72,7 @@
 void
 Entries::CutControl(std::size_t aEntry, bool aCut)
 {
-  m_entries[aEntry].m_cut = aCut;
+  m_entries[aEntry].m_cutFromControl = aCut;
 }
 
 void
@@ -122,11 +123,11 @@
 Entries::GrantLeases()
 {
   for (std::size_t i = 0; i < m_entries.size(); ++i) {
-    if (m_entries[i].m_cut) {
+    if (m_entries[i].m_cutFromControl) {
       continue;
     }
     const TimePoint until = m_now + kLease;
-    AfterAt(i, UpTo(m_faults.m_maxControlDelay), [this, i, until]() {
+    AfterAt(i, RandomUpTo(m_faults.m_maxControlDelay), [this, i, until]() {
       Entry& entry = m_entries[i];
       entry.m_engine->OnView(MakeView(), m_now);
       entry.m_engine->OnLease(until, i, m_entries.size(), m_now);
@@ -147,8 +148,9 @@
                  Duration aDelay,
                  std::function<void()> aRun)
 {
-  m_events.emplace(m_now + aDelay,
-                   Event{ aEntry, m_entries[aEntry].m_life, std::move(aRun) });
+  m_events.emplace(
+    m_now + aDelay,
+    Event{ aEntry, m_entries[aEntry].m_incarnationCount, std::move(aRun) });
 }
 
 void
@@ -162,10 +164,10 @@
       m_events.erase(m_events.begin());
       if (event.m_entry) {
         const Entry& entry = m_entries[*event.m_entry];
-        if (entry.m_life != event.m_life) {
+        if (entry.m_incarnationCount != event.m_incarnationCount) {
           continue;
         }
-        // A frozen process finds it in its buffers when it wakes.
+        // A frozen process reads the event from its buffers when it resumes.
         if (entry.m_frozen) {
           m_events.emplace(m_now + kTick, std::move(event));
           continue;
@@ -221,7 +223,8 @@
   for (auto actions = engine.TakeActions(); !actions.empty();
        actions = engine.TakeActions()) {
     for (const auto& action : actions) {
-      std::visit([&](const auto& aOne) { Carry(aEntry, aOne); }, action);
+      std::visit([&](const auto& aAction) { Execute(aEntry, aAction); },
+                 action);
     }
   }
 }
@@ -230,24 +233,24 @@
 Entries::IsGone(const outcome::EntryId& aHolder) const
 {
   return std::none_of(
-    m_entries.begin(), m_entries.end(), [&](const Entry& aOne) {
-      return aOne.m_id == aHolder && aOne.m_leaseUntil > m_now;
+    m_entries.begin(), m_entries.end(), [&](const Entry& aEntry) {
+      return aEntry.m_id == aHolder && aEntry.m_leaseUntil > m_now;
     });
 }
 
-// ---------------------------------------------------------- control group
+// Calls to the control group
 
 void
-Entries::Carry(std::size_t aEntry, const request::AskBegin& aAsk)
+Entries::Execute(std::size_t aEntry, const request::AskBegin& aAsk)
 {
-  const bool cut = m_entries[aEntry].m_cut;
-  const bool lostBefore = cut || Chance() < m_faults.m_controlLoss;
-  const bool lostAfter = Chance() < m_faults.m_controlLoss;
+  const bool cut = m_entries[aEntry].m_cutFromControl;
+  const bool lostBefore = cut || RandomFraction() < m_faults.m_controlLoss;
+  const bool lostAfter = RandomFraction() < m_faults.m_controlLoss;
   const TimePoint until = m_now + aAsk.m_patience;
   const request::AskBegin ask = aAsk;
-  // The call travels and is committed whether or not its sender lives on.
-  const std::uint64_t life = m_entries[aEntry].m_life;
-  After(UpTo(m_faults.m_maxControlDelay), [=, this]() {
+  // The call is delivered and committed even if its sender has restarted.
+  const std::uint64_t incarnation = m_entries[aEntry].m_incarnationCount;
+  After(RandomUpTo(m_faults.m_maxControlDelay), [=, this]() {
     request::BeginResult result;
     if (!lostBefore) {
       m_index = Next(m_index);
@@ -269,18 +272,18 @@
           break;
       }
     }
-    if (m_entries[aEntry].m_life != life) {
+    if (m_entries[aEntry].m_incarnationCount != incarnation) {
       return;
     }
     const bool answered = !lostBefore && !lostAfter;
     if (answered) {
-      AfterAt(aEntry, UpTo(m_faults.m_maxControlDelay), [=, this]() {
+      AfterAt(aEntry, RandomUpTo(m_faults.m_maxControlDelay), [=, this]() {
         m_entries[aEntry].m_engine->OnBegin(ask.m_local, result, m_now);
         Pump(aEntry);
       });
       return;
     }
-    // The link asks again, with the same ticket, until the patience ends.
+    // The link retries with the same ticket until the timeout.
     AfterAt(aEntry, kControlPause, [=, this]() {
       if (m_now + kControlPause >= until) {
         m_entries[aEntry].m_engine->OnBegin(ask.m_local, {}, m_now);
@@ -289,17 +292,17 @@
       }
       request::AskBegin again = ask;
       again.m_patience = until - m_now;
-      Carry(aEntry, again);
+      Execute(aEntry, again);
     });
   });
 }
 
 void
-Entries::Carry(std::size_t aEntry, const request::AskRecord& aAsk)
+Entries::Execute(std::size_t aEntry, const request::AskRecord& aAsk)
 {
   const request::AskRecord ask = aAsk;
-  const bool cut = m_entries[aEntry].m_cut;
-  AfterAt(aEntry, UpTo(m_faults.m_maxControlDelay), [=, this]() {
+  const bool cut = m_entries[aEntry].m_cutFromControl;
+  AfterAt(aEntry, RandomUpTo(m_faults.m_maxControlDelay), [=, this]() {
     request::BeginResult result;
     if (!cut) {
       result.m_outcome = request::BeginOutcome::kRecorded;
@@ -314,9 +317,10 @@
 }
 
 void
-Entries::Carry(std::size_t aEntry, const request::Resolve& aResolve)
+Entries::Execute(std::size_t aEntry, const request::Resolve& aResolve)
 {
-  if (m_entries[aEntry].m_cut || Chance() < m_faults.m_controlLoss) {
+  if (m_entries[aEntry].m_cutFromControl ||
+      RandomFraction() < m_faults.m_controlLoss) {
     return;
   }
   outcome::Resolve resolve = aResolve.m_resolve;
@@ -324,16 +328,16 @@
     resolve.m_answer = outcome::Answer{};
     resolve.m_answer->m_body = resolve.m_request.Get();
   }
-  After(UpTo(m_faults.m_maxControlDelay * 3), [=, this]() {
+  After(RandomUpTo(m_faults.m_maxControlDelay * 3), [=, this]() {
     m_index = Next(m_index);
     m_ledger.Apply(m_index, resolve);
   });
 }
 
-// -------------------------------------------------------------- upstreams
+// Attempts at upstreams
 
 void
-Entries::Carry(std::size_t aEntry, const request::Dispatch& aDispatch)
+Entries::Execute(std::size_t aEntry, const request::Dispatch& aDispatch)
 {
   Entry& entry = m_entries[aEntry];
   const Copy copy = entry.m_copies.at(aDispatch.m_local);
@@ -356,10 +360,10 @@
   };
   request::AttemptResult result;
   result.m_status = 200;
-  const bool mayNotSend = m_now >= entry.m_leaseUntil;
-  if (mayNotSend || Chance() < m_faults.m_refuse) {
+  const bool leaseExpired = m_now >= entry.m_leaseUntil;
+  if (leaseExpired || RandomFraction() < m_faults.m_refuse) {
     result.m_end = request::AttemptEnd::kNotSent;
-    answer(result, UpTo(m_faults.m_maxNetDelay));
+    answer(result, RandomUpTo(m_faults.m_maxNetDelay));
     return;
   }
   const auto cordoned = m_cordonedAt.find(target);
@@ -367,38 +371,38 @@
       m_now > cordoned->second + Millis{ 2000 }) {
     m_lateStarts.push_back(target.Get());
   }
-  const Duration there = UpTo(m_faults.m_maxNetDelay);
-  const Duration service = UpTo(m_faults.m_maxServiceTime);
-  if (Chance() < m_faults.m_provesNotRun) {
+  const Duration travelTime = RandomUpTo(m_faults.m_maxNetDelay);
+  const Duration service = RandomUpTo(m_faults.m_maxServiceTime);
+  if (RandomFraction() < m_faults.m_provesNotRun) {
     result.m_end = request::AttemptEnd::kAnswered;
     result.m_status = 503;
     result.m_provesNotRun = true;
-    answer(result, there);
+    answer(result, travelTime);
     return;
   }
-  After(there, [=, this]() {
+  After(travelTime, [=, this]() {
     ++m_runs[copy.m_request].m_total;
     ++m_runs[copy.m_request].m_byAttempt[copy.m_attempt];
   });
-  const bool late = m_now + there + service > until;
-  const bool cut = Chance() < m_faults.m_cutAnswer;
-  result.m_end = late  ? request::AttemptEnd::kTimedOut
-                 : cut ? request::AttemptEnd::kBroken
-                       : request::AttemptEnd::kAnswered;
-  result.m_took = there + service;
-  answer(result, late ? until - m_now : there + service);
+  const bool timedOut = m_now + travelTime + service > until;
+  const bool cut = RandomFraction() < m_faults.m_cutAnswer;
+  result.m_end = timedOut ? request::AttemptEnd::kTimedOut
+                 : cut    ? request::AttemptEnd::kBroken
+                          : request::AttemptEnd::kAnswered;
+  result.m_took = travelTime + service;
+  answer(result, timedOut ? until - m_now : travelTime + service);
 }
 
-// ----------------------------------------------------------------- callers
+// Answers to callers
 
 void
-Entries::Carry(std::size_t aEntry, const request::Relay& aRelay)
+Entries::Execute(std::size_t aEntry, const request::Relay& aRelay)
 {
   State(aEntry, aRelay.m_local, outcome::State::kDone, request::Reason::kNone);
 }
 
 void
-Entries::Carry(std::size_t aEntry, const request::Conclude& aConclude)
+Entries::Execute(std::size_t aEntry, const request::Conclude& aConclude)
 {
   Copy& copy = m_entries[aEntry].m_copies.at(aConclude.m_local);
   copy.m_answerOf.reset();
@@ -451,28 +455,28 @@
       return id.Get() + " ran " + std::to_string(runs.m_total) + " times";
     }
   }
-  for (const Statement& said : m_statements) {
-    const std::string name =
-      said.m_request.Get() + " attempt " + std::to_string(said.m_attempt);
-    const auto runs = m_runs.find(said.m_request);
-    const bool ran =
-      runs != m_runs.end() && runs->second.m_byAttempt.contains(said.m_attempt);
-    const bool judged =
-      !said.m_mayRepeat && said.m_state == outcome::State::kNotRun;
-    if (judged && ran) {
-      return name + " was told not-run (" + Describe(said.m_reason) +
-             ") and ran";
+  for (const Statement& statement : m_statements) {
+    const std::string name = statement.m_request.Get() + " attempt " +
+                             std::to_string(statement.m_attempt);
+    const auto runs = m_runs.find(statement.m_request);
+    const bool ran = runs != m_runs.end() &&
+                     runs->second.m_byAttempt.contains(statement.m_attempt);
+    const bool reportedNotRun =
+      !statement.m_mayRepeat && statement.m_state == outcome::State::kNotRun;
+    if (reportedNotRun && ran) {
+      return name + " was reported as not-run (" +
+             Describe(statement.m_reason) + ") and ran";
     }
-    if (said.m_state == outcome::State::kDone) {
-      if (said.m_answers != said.m_request) {
-        return name + " got no answer of its own";
+    if (statement.m_state == outcome::State::kDone) {
+      if (statement.m_answers != statement.m_request) {
+        return name + " got the answer of another request or none";
       }
       if (runs == m_runs.end()) {
-        return name + " was told done and never ran";
+        return name + " was reported as done but never ran";
       }
     }
-    if (said.m_state == outcome::State::kInProgress) {
-      return name + " was told in-progress as a final word";
+    if (statement.m_state == outcome::State::kInProgress) {
+      return name + " was reported as in-progress in its final answer";
     }
   }
   return {};
--- a/tests/support/entries.h
+++ b/tests/support/entries.h
@@ -9,39 +9,41 @@
 
 namespace bamboostile::test {
 
+/** Probabilities of faults and upper limits of delays. */
 struct EntryFaults
 {
-  /** A call to the control group is lost, before or after its commit. */
+  /** Probability that a call to the control group is lost, before or after its
+   * commit. */
   double m_controlLoss = 0;
-  /** An upstream cannot be connected to. */
+  /** Probability that a connection to an upstream fails. */
   double m_refuse = 0;
-  /** It runs the request, and the answer never comes whole. */
+  /** Probability that an upstream runs a request but its answer is cut off. */
   double m_cutAnswer = 0;
-  /** It answers that it did not run the request. */
+  /** Probability that an upstream answers that it did not run the request. */
   double m_provesNotRun = 0;
   Duration m_maxControlDelay = Millis{ 10 };
   Duration m_maxNetDelay = Millis{ 5 };
   Duration m_maxServiceTime = Millis{ 60 };
 };
 
-/** What one copy of a request was told. */
+/** The final answer to one copy of a request. */
 struct Statement
 {
   RequestId m_request;
   std::uint32_t m_attempt = 1;
   outcome::State m_state = outcome::State::kUnknown;
   request::Reason m_reason = request::Reason::kNone;
-  /** The request whose answer this is, where there is one. */
+  /** The request whose answer was returned, if any. */
   std::optional<RequestId> m_answers;
   TimePoint m_at;
   bool m_mayRepeat = false;
 };
 
 /**
- * @brief A few request engines, one record of requests, and upstreams that
- * count what they run.
+ * @brief Simulates several request engines, one ledger of requests, and
+ * upstreams that count the runs of each request.
  *
- * Holds the callers' statements against the runs: this is the naive model.
+ * This is the naive model: it compares the answers to callers with the runs.
  */
 class Entries
 {
@@ -51,7 +53,7 @@
           std::uint64_t aSeed,
           EntryFaults aFaults);
 
-  /** One copy of a request arrives at an entry. */
+  /** Delivers one copy of a request to an entry. */
   void Arrive(std::size_t aEntry,
               const RequestId& aRequest,
               bool aIdempotent,
@@ -59,17 +61,18 @@
               Duration aTimeout = Millis{ 1000 },
               bool aKeyed = true);
   void Run(Duration aTime);
-  /** The process is gone with all it knew; a new one takes its place. */
+  /** Replaces the entry's process by a new one without its state. */
   void Restart(std::size_t aEntry);
   void Freeze(std::size_t aEntry, bool aFrozen);
-  /** The entry gets no lease and no answer from the control group. */
+  /** Withholds leases and answers of the control group from the entry. */
   void CutControl(std::size_t aEntry, bool aCut);
   void SetFaults(EntryFaults aFaults) { m_faults = aFaults; }
   void SetCordon(std::size_t aUpstream, bool aCordoned);
 
   const std::vector<Statement>& Statements() const { return m_statements; }
   std::uint64_t RunsOf(const RequestId& aRequest) const;
-  /** Compares all statements with all runs; empty if they agree. */
+  /** Compares all statements with all runs; returns an empty string if they
+   * agree. */
   std::string Contradiction() const;
   request::Engine& At(std::size_t aEntry)
   {
@@ -79,7 +82,7 @@
   TimePoint Now() const { return m_now; }
   std::mt19937_64& Random() { return m_random; }
   std::size_t OpenCopies() const;
-  /** Runs that started at an upstream later than it was allowed to. */
+  /** Upstreams that got a request more than 2 s after they were cordoned. */
   const std::vector<std::string>& LateStarts() const { return m_lateStarts; }
 
 private:
@@ -95,18 +98,18 @@
   {
     std::unique_ptr<request::Engine> m_engine;
     outcome::EntryId m_id;
-    std::uint64_t m_life = 0;
+    std::uint64_t m_incarnationCount = 0;
     bool m_frozen = false;
-    bool m_cut = false;
+    bool m_cutFromControl = false;
     TimePoint m_leaseUntil;
     std::map<request::LocalId, Copy> m_copies;
   };
 
   struct Event
   {
-    /** Unset for events of the world, which no freeze delays. */
+    /** Unset for events outside the entries, which a freeze doesn't delay. */
     std::optional<std::size_t> m_entry;
-    std::uint64_t m_life = 0;
+    std::uint64_t m_incarnationCount = 0;
     std::function<void()> m_run;
   };
 
@@ -116,15 +119,15 @@
     std::uint64_t m_total = 0;
   };
 
-  void StartLife(std::size_t aEntry);
+  void StartIncarnation(std::size_t aEntry);
   void GrantLeases();
   void Pump(std::size_t aEntry);
-  void Carry(std::size_t aEntry, const request::AskBegin& aAsk);
-  void Carry(std::size_t aEntry, const request::AskRecord& aAsk);
-  void Carry(std::size_t aEntry, const request::Dispatch& aDispatch);
-  void Carry(std::size_t aEntry, const request::Relay& aRelay);
-  void Carry(std::size_t aEntry, const request::Resolve& aResolve);
-  void Carry(std::size_t aEntry, const request::Conclude& aConclude);
+  void Execute(std::size_t aEntry, const request::AskBegin& aAsk);
+  void Execute(std::size_t aEntry, const request::AskRecord& aAsk);
+  void Execute(std::size_t aEntry, const request::Dispatch& aDispatch);
+  void Execute(std::size_t aEntry, const request::Relay& aRelay);
+  void Execute(std::size_t aEntry, const request::Resolve& aResolve);
+  void Execute(std::size_t aEntry, const request::Conclude& aConclude);
   void State(std::size_t aEntry,
              request::LocalId aLocal,
              outcome::State aState,
@@ -133,8 +136,8 @@
   void AfterAt(std::size_t aEntry, Duration aDelay, std::function<void()> aRun);
   bool IsGone(const outcome::EntryId& aHolder) const;
   fleet::View MakeView() const;
-  double Chance();
-  Duration UpTo(Duration aMost);
+  double RandomFraction();
+  Duration RandomUpTo(Duration aMax);
 
   std::mt19937_64 m_random;
   EntryFaults m_faults;
--- a/tests/support/job_fixtures.h
+++ b/tests/support/job_fixtures.h
@@ -6,7 +6,7 @@
 
 #include <string>
 
-/** Short ways to build jobs, routes and reports for the tests of placing. */
+/** Builders of jobs, routes and reports for the placement tests. */
 namespace job_fixtures {
 
 using namespace bamboostile;
@@ -36,7 +36,7 @@
   return spec;
 }
 
-/** A life that does not say when it started, unless it is told. */
+/** An incarnation; a start time of 0 means that it is unknown. */
 inline WorkerLife
 Life(const std::string& aWorker, std::int64_t aStartedAt = 0)
 {
@@ -74,10 +74,10 @@
 inline placement::EndReport
 End(std::uint64_t aNumber,
     const jobs::TaskRef& aTask,
-    jobs::RunEnd aHow,
+    jobs::RunEnd aEnd,
     std::uint32_t aRun = 1)
 {
-  return { aNumber, aTask, RunNumber{ aRun }, aHow, "" };
+  return { aNumber, aTask, RunNumber{ aRun }, aEnd, "" };
 }
 
 /** The replicated state with one queue, "host/q/", of the service "desk". */
@@ -130,11 +130,11 @@
   }
 
   void End(const jobs::TaskRef& aTask,
-           jobs::RunEnd aHow,
+           jobs::RunEnd aEnd,
            std::uint32_t aRun = 1)
   {
     Apply(
-      { jobs::EndRun{ aTask, RunNumber{ aRun }, aHow, "", WallTime{ 5 } } });
+      { jobs::EndRun{ aTask, RunNumber{ aRun }, aEnd, "", WallTime{ 5 } } });
   }
 
   jobs::JobState StateOf(const std::string& aJob) const
@@ -142,7 +142,7 @@
     return m_state.Jobs().Find(JobId{ aJob })->m_state;
   }
 
-  /** Goes on from its own snapshot, as another replica would. */
+  /** Replaces the state by its own snapshot, as another replica would. */
   void Restore() { m_state = *fleet::State::Decode(m_state.Encode()); }
 
   const fleet::State& State() const { return m_state; }
--- a/tests/support/main.cpp
+++ b/tests/support/main.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-/** The tests of KNOWN-RED.txt, as "Group.Name Group.Name". */
+/** Returns the tests of KNOWN-RED.txt, which the environment variable lists as
+ * "Group.Name Group.Name". */
 std::set<std::string>
-KnownRed()
+KnownRedTests()
 {
   const char* names = std::getenv("BAMBOOSTILE_KNOWN_RED");
   std::istringstream list(names == nullptr ? "" : names);
@@ -22,10 +23,10 @@
   return known;
 }
 
-// The runner's own options leave out one test at most: of several, each lets
-// through what the others leave out.
+// Removes the tests from the registry. The runner's own options can exclude
+// only one test: with several, each admits what the others exclude.
 void
-LeaveOut(const std::set<std::string>& aKnown)
+RemoveTests(const std::set<std::string>& aKnown)
 {
   TestRegistry& registry = *TestRegistry::getCurrentRegistry();
   const auto isKnown = [&](UtestShell* aTest) {
@@ -52,9 +53,9 @@
 main(int aCount, char** aArguments)
 {
   // CppUTest's own new and delete keep a list without a lock: tests whose
-  // threads allocate at the same time crash, hang or report leaks that are
-  // none. The sanitizers find real ones.
+  // threads allocate at the same time crash, hang or report false leaks. The
+  // sanitizers find the real ones.
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
-  LeaveOut(KnownRed());
+  RemoveTests(KnownRedTests());
   return CommandLineTestRunner::RunAllTests(aCount, aArguments);
 }
