--- a/tests/failure/jobs_test.cpp
+++ b/tests/failure/jobs_test.cpp
@@ -193,7 +193,7 @@
     Submit(processes, i);
   }
   CheckAllCompleted(processes);
-  LONGS_EQUAL(0, processes.StartsAfterNoted(1));
+  LONGS_EQUAL(0, processes.CountRestartsAfterDone(1));
 }
 
 // One job's task crashes each worker that starts it, and the leader is killed
@@ -278,7 +278,7 @@
   processes.StartControlWithoutDisk(1);
   processes.StartSeededControl(2, true);
   processes.StartSeededControl(3, true);
-  processes.StartEntryKnowing(1, { processes.Rpc(1) });
+  processes.StartEntryWithControl(1, { processes.Rpc(1) });
   PutQueue(processes);
   LONGS_EQUAL(2, processes.Status().value("replicas", Json::array()).size());
   const auto isAccepted = [&]() {
--- a/tests/failure/requests_test.cpp
+++ b/tests/failure/requests_test.cpp
@@ -260,8 +260,8 @@
     processes.Kill("c" + std::to_string(i));
   }
   processes.Signal("e1", SIGTERM);
-  CHECK(
-    processes.Until([&]() { return processes.HasEndedWell("e1"); }, kLimit));
+  CHECK(processes.Until([&]() { return processes.HasExitedCleanly("e1"); },
+                        kLimit));
 }
 
 // An upstream says that it leaves. After 2 s no entry sends it anything, not
--- a/tests/support/processes.cpp
+++ b/tests/support/processes.cpp
@@ -20,7 +20,7 @@
 using Json = nlohmann::json;
 
 constexpr int kGroup = 3;
-constexpr Millis kSettle{ 15'000 };
+constexpr Millis kStartupTimeout{ 15'000 };
 
 std::string
 Loopback(int aPort)
@@ -28,12 +28,13 @@
   return "127.0.0.1:" + std::to_string(aPort);
 }
 
-/** Another build's daemon may be tested against the same fakes. */
+/** Returns the daemon to test. BAMBOOSTILE_DAEMON selects another build's
+ * daemon, which runs against the same fakes. */
 std::string
 DaemonPath()
 {
-  const char* other = std::getenv("BAMBOOSTILE_DAEMON");
-  return other == nullptr ? BAMBOOSTILE_DAEMON : other;
+  const char* configured = std::getenv("BAMBOOSTILE_DAEMON");
+  return configured == nullptr ? BAMBOOSTILE_DAEMON : configured;
 }
 
 std::string
@@ -48,7 +49,7 @@
 } // namespace
 
 Processes::Processes(std::uint16_t aBasePort)
-  : m_base(aBasePort)
+  : m_basePort(aBasePort)
   , m_folder(fs::temp_directory_path() /
              ("bamboostile-" + std::to_string(aBasePort) + "-" +
               std::to_string(getpid())))
@@ -71,49 +72,49 @@
 std::string
 Processes::Rpc(int aNumber) const
 {
-  return Loopback(m_base + aNumber);
+  return Loopback(m_basePort + aNumber);
 }
 
 std::string
 Processes::EntryHttp(int aNumber) const
 {
-  return Loopback(m_base + 10 + aNumber);
+  return Loopback(m_basePort + 10 + aNumber);
 }
 
 std::string
 Processes::UpstreamHttp(int aNumber) const
 {
-  return Loopback(m_base + 30 + aNumber);
+  return Loopback(m_basePort + 30 + aNumber);
 }
 
 std::string
 Processes::PlatformHttp() const
 {
-  return Loopback(m_base + 60);
+  return Loopback(m_basePort + 60);
 }
 
 std::string
 Processes::ControlFrontHttp() const
 {
-  return Loopback(m_base + 61);
+  return Loopback(m_basePort + 61);
 }
 
 pid_t
 Processes::Spawn(const std::string& aName,
-                 const std::vector<std::string>& aWords)
+                 const std::vector<std::string>& aArguments)
 {
   const fs::path log = m_folder / (aName + ".log");
-  std::vector<char*> words;
-  for (const std::string& word : aWords) {
-    words.push_back(const_cast<char*>(word.c_str()));
+  std::vector<char*> arguments;
+  for (const std::string& word : aArguments) {
+    arguments.push_back(const_cast<char*>(word.c_str()));
   }
-  words.push_back(nullptr);
+  arguments.push_back(nullptr);
   const pid_t child = fork();
   if (child == 0) {
     const int fd = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     dup2(fd, STDOUT_FILENO);
     dup2(fd, STDERR_FILENO);
-    execv(words[0], words.data());
+    execv(arguments[0], arguments.data());
     _exit(127);
   }
   m_running[aName] = child;
@@ -123,7 +124,7 @@
 std::string
 Processes::ControlHttp(int aNumber) const
 {
-  return Loopback(m_base + 50 + aNumber);
+  return Loopback(m_basePort + 50 + aNumber);
 }
 
 void
@@ -162,23 +163,24 @@
 }
 
 void
-Processes::StartPlatform(int aWorkers, std::vector<std::string> aMore)
+Processes::StartPlatform(int aWorkers, std::vector<std::string> aExtra)
 {
-  std::vector<std::string> words{ BAMBOOSTILE_FAKES "/fake_platform",
-                                  "--port",
-                                  std::to_string(m_base + 60) };
-  words.insert(words.end(), aMore.begin(), aMore.end());
-  words.push_back("--instance");
+  std::vector<std::string> arguments{ BAMBOOSTILE_FAKES "/fake_platform",
+                                      "--port",
+                                      std::to_string(m_basePort + 60) };
+  arguments.insert(arguments.end(), aExtra.begin(), aExtra.end());
+  arguments.push_back("--instance");
   for (int i = 1; i <= aWorkers; ++i) {
-    words.push_back("k" + std::to_string(i) + "=" + Loopback(m_base + 70 + i));
+    arguments.push_back("k" + std::to_string(i) + "=" +
+                        Loopback(m_basePort + 70 + i));
   }
-  Spawn("platform", words);
+  Spawn("platform", arguments);
 }
 
 void
 Processes::StartHostedWorker(int aNumber)
 {
-  StartWorker(aNumber, { "--port", std::to_string(m_base + 70 + aNumber) });
+  StartWorker(aNumber, { "--port", std::to_string(m_basePort + 70 + aNumber) });
 }
 
 std::vector<std::string>
@@ -195,18 +197,18 @@
 }
 
 void
-Processes::StartWorker(int aNumber, std::vector<std::string> aMore)
+Processes::StartWorker(int aNumber, std::vector<std::string> aExtra)
 {
   const std::string name = "k" + std::to_string(aNumber);
-  std::vector<std::string> words{
+  std::vector<std::string> arguments{
     BAMBOOSTILE_FAKES "/fake_worker", "--id", name, "--service", "desk"
   };
-  words.insert(words.end(), aMore.begin(), aMore.end());
-  words.push_back("--control");
+  arguments.insert(arguments.end(), aExtra.begin(), aExtra.end());
+  arguments.push_back("--control");
   for (int i = 1; i <= kGroup; ++i) {
-    words.push_back(ControlHttp(i));
+    arguments.push_back(ControlHttp(i));
   }
-  Spawn(name, words);
+  Spawn(name, arguments);
 }
 
 std::map<std::string, int>
@@ -230,18 +232,18 @@
 }
 
 int
-Processes::StartsAfterNoted(int aWorker) const
+Processes::CountRestartsAfterDone(int aWorker) const
 {
   std::ifstream in(m_folder / ("k" + std::to_string(aWorker) + ".log"));
   std::set<std::string> noted;
   int count = 0;
   for (std::string line; std::getline(in, line);) {
-    std::istringstream words(line);
-    std::string what;
+    std::istringstream fields(line);
+    std::string event;
     std::string task;
-    words >> what >> task;
-    count += what == "start" && noted.contains(task) ? 1 : 0;
-    if (what == "noted") {
+    fields >> event >> task;
+    count += event == "start" && noted.contains(task) ? 1 : 0;
+    if (event == "noted") {
       noted.insert(task);
     }
   }
@@ -249,7 +251,7 @@
 }
 
 void
-Processes::StartControlWith(int aNumber, Json aMore)
+Processes::StartControlWith(int aNumber, Json aExtra)
 {
   const std::string name = "c" + std::to_string(aNumber);
   Json settings{
@@ -258,7 +260,7 @@
     { "rpc", Rpc(aNumber) },    { "http", ControlHttp(aNumber) },
     { "snapshotEvery", 200 },   { "dataFolder", (m_folder / name).string() }
   };
-  settings.update(aMore);
+  settings.update(aExtra);
   if (settings["dataFolder"].is_null()) {
     settings.erase("dataFolder");
   }
@@ -270,12 +272,12 @@
 void
 Processes::StartEntry(int aNumber)
 {
-  StartEntryKnowing(aNumber, { Rpc(1), Rpc(2), Rpc(3) });
+  StartEntryWithControl(aNumber, { Rpc(1), Rpc(2), Rpc(3) });
 }
 
 void
-Processes::StartEntryKnowing(int aNumber,
-                             const std::vector<std::string>& aControl)
+Processes::StartEntryWithControl(int aNumber,
+                                 const std::vector<std::string>& aControl)
 {
   const std::string name = "e" + std::to_string(aNumber);
   const Json settings{
@@ -291,27 +293,28 @@
 void
 Processes::StartUpstream(int aNumber,
                          const std::string& aService,
-                         std::vector<std::string> aMore)
+                         std::vector<std::string> aExtra)
 {
   const std::string number = std::to_string(aNumber);
   m_upstreams.insert(aNumber);
-  std::vector<std::string> words{ BAMBOOSTILE_FAKES "/fake_upstream",
-                                  "--id",
-                                  "w" + number,
-                                  "--service",
-                                  aService,
-                                  "--zone",
-                                  "z" + number,
-                                  "--rack",
-                                  "r" + number,
-                                  "--port",
-                                  std::to_string(m_base + 30 + aNumber) };
-  words.insert(words.end(), aMore.begin(), aMore.end());
-  words.push_back("--entry");
+  std::vector<std::string> arguments{ BAMBOOSTILE_FAKES "/fake_upstream",
+                                      "--id",
+                                      "w" + number,
+                                      "--service",
+                                      aService,
+                                      "--zone",
+                                      "z" + number,
+                                      "--rack",
+                                      "r" + number,
+                                      "--port",
+                                      std::to_string(m_basePort + 30 +
+                                                     aNumber) };
+  arguments.insert(arguments.end(), aExtra.begin(), aExtra.end());
+  arguments.push_back("--entry");
   for (int i = 1; i <= kGroup; ++i) {
-    words.push_back(EntryHttp(i));
+    arguments.push_back(EntryHttp(i));
   }
-  Spawn("w" + number, words);
+  Spawn("w" + number, arguments);
 }
 
 void
@@ -321,24 +324,28 @@
     StartControl(i);
     StartEntry(i);
   }
-  Until([this]() { return Cli({ "control", "init" }).m_exit == 0; }, kSettle);
+  Until(
+    [this]() {
+      return Cli({ "control", "init" }).m_exit == 0;
+    },
+    kStartupTimeout);
   for (int i = 2; i <= kGroup; ++i) {
     Until(
       [&]() {
         return Cli({ "control", "add", Rpc(i) }).m_exit == 0;
       },
-      kSettle);
+      kStartupTimeout);
   }
   Until(
     [this]() {
       const Json status = Status();
       std::size_t voters = 0;
-      for (const Json& one : status.value("replicas", Json::array())) {
-        voters += one.at("voter").get<bool>() ? 1 : 0;
+      for (const Json& replica : status.value("replicas", Json::array())) {
+        voters += replica.at("voter").get<bool>() ? 1 : 0;
       }
       return voters == kGroup && status.at("entries").size() == kGroup;
     },
-    kSettle);
+    kStartupTimeout);
   Cli({ "service", "put", "desk", "--max-unavailable-percent", "50" });
   Cli({ "pool", "put", "old", "--service", "desk" });
 }
@@ -359,7 +366,7 @@
 }
 
 bool
-Processes::HasEndedWell(const std::string& aName)
+Processes::HasExitedCleanly(const std::string& aName)
 {
   int status = 0;
   if (waitpid(m_running.at(aName), &status, WNOHANG) <= 0) {
@@ -377,14 +384,14 @@
 }
 
 Output
-Processes::Cli(std::vector<std::string> aWords)
+Processes::Cli(std::vector<std::string> aArguments)
 {
-  aWords.insert(aWords.begin(), BAMBOOSTILE_CLI);
-  aWords.push_back("--control");
-  aWords.push_back(Rpc(1) + "," + Rpc(2) + "," + Rpc(3));
+  aArguments.insert(aArguments.begin(), BAMBOOSTILE_CLI);
+  aArguments.push_back("--control");
+  aArguments.push_back(Rpc(1) + "," + Rpc(2) + "," + Rpc(3));
   const fs::path log = m_folder / "cli.log";
   fs::remove(log);
-  Spawn("cli", aWords);
+  Spawn("cli", aArguments);
   Output output;
   output.m_exit = Wait("cli");
   output.m_text = ReadAll(log);
@@ -403,36 +410,37 @@
 Processes::LeaderName()
 {
   const Json status = Status();
-  for (const Json& one : status.value("replicas", Json::array())) {
-    if (one.at("leader").get<bool>()) {
-      return one.at("id");
+  for (const Json& replica : status.value("replicas", Json::array())) {
+    if (replica.at("leader").get<bool>()) {
+      return replica.at("id");
     }
   }
   return "";
 }
 
 std::vector<std::string>
-Processes::CallerWords(std::vector<std::string> aMore) const
+Processes::CallerArguments(std::vector<std::string> aExtra) const
 {
-  std::vector<std::string> words{ BAMBOOSTILE_FAKES "/fake_caller",
-                                  "--service",
-                                  "desk" };
-  words.insert(words.end(), aMore.begin(), aMore.end());
-  words.push_back("--entry");
+  std::vector<std::string> arguments{ BAMBOOSTILE_FAKES "/fake_caller",
+                                      "--service",
+                                      "desk" };
+  arguments.insert(arguments.end(), aExtra.begin(), aExtra.end());
+  arguments.push_back("--entry");
   for (int i = 1; i <= kGroup; ++i) {
-    words.push_back(EntryHttp(i));
+    arguments.push_back(EntryHttp(i));
   }
-  words.push_back("--upstream");
+  arguments.push_back("--upstream");
   for (const int number : m_upstreams) {
-    words.push_back(UpstreamHttp(number));
+    arguments.push_back(UpstreamHttp(number));
   }
-  return words;
+  return arguments;
 }
 
 void
-Processes::StartCaller(const std::string& aName, std::vector<std::string> aMore)
+Processes::StartCaller(const std::string& aName,
+                       std::vector<std::string> aExtra)
 {
-  Spawn(aName, CallerWords(std::move(aMore)));
+  Spawn(aName, CallerArguments(std::move(aExtra)));
 }
 
 Json
@@ -443,10 +451,10 @@
 }
 
 Json
-Processes::Call(std::vector<std::string> aMore)
+Processes::Call(std::vector<std::string> aExtra)
 {
   fs::remove(m_folder / "caller.log");
-  StartCaller("caller", std::move(aMore));
+  StartCaller("caller", std::move(aExtra));
   return CallerResult("caller");
 }
 
--- a/tests/support/processes.h
+++ b/tests/support/processes.h
@@ -15,7 +15,7 @@
 
 namespace bamboostile::test {
 
-/** What a command printed and how it ended. */
+/** Output and exit code of a command. */
 struct Output
 {
   int m_exit = -1;
@@ -23,61 +23,66 @@
 };
 
 /**
- * @brief Real daemons and fakes on loopback, on ports of this test alone.
+ * @brief Runs real daemons and fakes on loopback, on ports of one test.
  *
- * Starts programs from the build folder and ends each of them by its id.
+ * Starts programs from the build folder and ends each by its process id.
  */
 class Processes
 {
 public:
-  /** aBasePort: 100 ports from here on belong to this test. */
+  /** The test owns 100 ports from aBasePort on. */
   explicit Processes(std::uint16_t aBasePort);
   ~Processes();
   Processes(const Processes&) = delete;
   Processes& operator=(const Processes&) = delete;
 
   void StartControl(int aNumber);
-  /** A replica that forms its group from the seeds by itself. */
+  /** Starts a replica that has the seeds of its group and, with aFormGroup, may
+   * form the group by itself. */
   void StartSeededControl(int aNumber, bool aFormGroup);
-  /** It is a seed too, but keeps no log and has no vote. */
+  /** Starts a seed that keeps no log and has no vote. */
   void StartControlWithoutDisk(int aNumber);
-  /** A group of its own whose instances the fake platform hosts. */
+  /** Starts a group of one replica whose instances the fake platform hosts. */
   void StartHostedControl();
-  /** Hosts workers 1 to aWorkers, which it restarts as orders say. */
-  void StartPlatform(int aWorkers, std::vector<std::string> aMore = {});
-  /** A fake worker that the fake platform can restart. */
+  /** Starts a fake platform that hosts workers 1 to aWorkers and restarts them
+   * as ordered. */
+  void StartPlatform(int aWorkers, std::vector<std::string> aExtra = {});
+  /** Starts a fake worker that the fake platform can restart. */
   void StartHostedWorker(int aNumber);
-  /** Of what the fake platform printed: lines that begin with aWord. */
+  /** Returns the lines of the fake platform's output that begin with aWord. */
   std::vector<std::string> PlatformLines(const std::string& aWord) const;
-  /** Where the platform's operators call the control group. */
+  /** Address where the platform's operators call the control group. */
   std::string ControlFrontHttp() const;
-  /** A fake worker; what it started is in its log. */
-  void StartWorker(int aNumber, std::vector<std::string> aMore = {});
-  /** Starts of tasks whose end as done that worker had been told is noted. */
-  int StartsAfterNoted(int aWorker) const;
-  /** How often the workers have started each task, by its name. */
+  /** Starts a fake worker, which logs the tasks that it starts. */
+  void StartWorker(int aNumber, std::vector<std::string> aExtra = {});
+  /** Counts the worker's starts of tasks whose end as done had already been
+   * acknowledged to it. */
+  int CountRestartsAfterDone(int aWorker) const;
+  /** Returns how often the workers have started each task, by task name. */
   std::map<std::string, int> TaskStarts() const;
   void StartEntry(int aNumber);
-  void StartEntryKnowing(int aNumber, const std::vector<std::string>& aControl);
+  void StartEntryWithControl(int aNumber,
+                             const std::vector<std::string>& aControl);
   void StartUpstream(int aNumber,
                      const std::string& aService,
-                     std::vector<std::string> aMore = {});
+                     std::vector<std::string> aExtra = {});
   /** Starts a group of three, three entries, a service and a pool. */
   void StartAll();
 
   void Signal(const std::string& aName, int aSignal);
-  /** Waits for the end and returns the exit code, -1 for a signal. */
+  /** Waits until the process ends; returns its exit code, or -1 after a signal.
+   */
   int Wait(const std::string& aName);
-  /** Has the process ended by itself, with code 0? */
-  bool HasEndedWell(const std::string& aName);
+  /** Returns whether the process has exited by itself with code 0. */
+  bool HasExitedCleanly(const std::string& aName);
   void Kill(const std::string& aName);
 
-  Output Cli(std::vector<std::string> aWords);
+  Output Cli(std::vector<std::string> aArguments);
   nlohmann::json Status();
   /** Runs the fake caller against all entries and returns its summary. */
-  nlohmann::json Call(std::vector<std::string> aMore);
-  /** The same beside whatever the test does next. */
-  void StartCaller(const std::string& aName, std::vector<std::string> aMore);
+  nlohmann::json Call(std::vector<std::string> aExtra);
+  /** Starts the fake caller in the background; CallerResult() waits for it. */
+  void StartCaller(const std::string& aName, std::vector<std::string> aExtra);
   nlohmann::json CallerResult(const std::string& aName);
 
   http::CallResult Http(const std::string& aAddress,
@@ -99,11 +104,13 @@
   std::uint64_t TotalAt(int aUpstream);
 
 private:
-  pid_t Spawn(const std::string& aName, const std::vector<std::string>& aWords);
-  void StartControlWith(int aNumber, nlohmann::json aMore);
-  std::vector<std::string> CallerWords(std::vector<std::string> aMore) const;
+  pid_t Spawn(const std::string& aName,
+              const std::vector<std::string>& aArguments);
+  void StartControlWith(int aNumber, nlohmann::json aExtra);
+  std::vector<std::string> CallerArguments(
+    std::vector<std::string> aExtra) const;
 
-  std::uint16_t m_base;
+  std::uint16_t m_basePort;
   std::filesystem::path m_folder;
   std::map<std::string, pid_t> m_running;
   std::set<int> m_upstreams;
--- a/tests/support/raw_server.cpp
+++ b/tests/support/raw_server.cpp
@@ -24,8 +24,8 @@
 bool
 IsReadable(int aSocket, int aMillis)
 {
-  pollfd one{ aSocket, POLLIN, 0 };
-  return poll(&one, 1, aMillis) > 0;
+  pollfd descriptor{ aSocket, POLLIN, 0 };
+  return poll(&descriptor, 1, aMillis) > 0;
 }
 
 } // namespace
@@ -74,12 +74,12 @@
 }
 
 std::string
-ReadHead(int aSocket, int aPatienceMs)
+ReadHead(int aSocket, int aTimeoutMs)
 {
   std::string head;
   char byte = 0;
   while (!head.ends_with("\r\n\r\n")) {
-    if (!IsReadable(aSocket, aPatienceMs) || read(aSocket, &byte, 1) <= 0) {
+    if (!IsReadable(aSocket, aTimeoutMs) || read(aSocket, &byte, 1) <= 0) {
       return "";
     }
     head += byte;
@@ -91,15 +91,16 @@
 ReadBody(int aSocket, std::size_t aBytes)
 {
   std::string body(aBytes, '\0');
-  std::size_t have = 0;
-  while (have < aBytes) {
-    const ssize_t count = read(aSocket, body.data() + have, aBytes - have);
+  std::size_t received = 0;
+  while (received < aBytes) {
+    const ssize_t count =
+      read(aSocket, body.data() + received, aBytes - received);
     if (count <= 0) {
       break;
     }
-    have += static_cast<std::size_t>(count);
+    received += static_cast<std::size_t>(count);
   }
-  body.resize(have);
+  body.resize(received);
   return body;
 }
 
@@ -125,7 +126,7 @@
 }
 
 std::string
-Exchange(std::uint16_t aPort, const std::string& aText, int aQuietMs)
+Exchange(std::uint16_t aPort, const std::string& aText, int aIdleTimeoutMs)
 {
   const int connection = ConnectAndWrite(aPort, aText);
   if (connection < 0) {
@@ -133,7 +134,7 @@
   }
   std::string answer;
   char buffer[4096];
-  while (IsReadable(connection, aQuietMs)) {
+  while (IsReadable(connection, aIdleTimeoutMs)) {
     const ssize_t count = read(connection, buffer, sizeof(buffer));
     if (count <= 0) {
       answer += "<closed>";
--- a/tests/support/raw_server.h
+++ b/tests/support/raw_server.h
@@ -9,14 +9,14 @@
 
 namespace bamboostile::test {
 
-/** A TCP server; each connection is handed to a function with its number,
- * counted from 1. */
+/** A TCP server that passes each connection to a function, with the number of
+ * the connection, counted from 1. */
 class RawServer
 {
 public:
   using OnConnection = std::function<void(int aSocket, int aNumber)>;
 
-  /** Port 0: one that the system picks. */
+  /** With port 0, the system picks a port. */
   explicit RawServer(OnConnection aOnConnection, std::uint16_t aPort = 0);
   ~RawServer();
   RawServer(const RawServer&) = delete;
@@ -35,21 +35,21 @@
   std::thread m_acceptor;
 };
 
-/** Reads one request head; empty at the end of the connection, or where
- * nothing comes for aPatienceMs. */
-std::string ReadHead(int aSocket, int aPatienceMs = 3000);
-/** Shorter where the connection ends before. */
+/** Reads one request head; returns an empty string if the connection ends or
+ * nothing arrives for aTimeoutMs. */
+std::string ReadHead(int aSocket, int aTimeoutMs = 3000);
+/** Reads aBytes, or fewer if the connection ends before. */
 std::string ReadBody(int aSocket, std::size_t aBytes);
 void Write(int aSocket, const std::string& aText);
 
-/** Connects and writes the text; the socket, to be closed by the caller;
- * -1 where nobody listens. */
+/** Connects and writes the text. Returns the socket, which the caller must
+ * close, or -1 if nobody listens. */
 int ConnectAndWrite(std::uint16_t aPort, const std::string& aText);
 
-/** Connects, writes the text, and returns all that comes back until the peer
- * closes or nothing comes for aQuietMs. */
+/** Connects, writes the text, and returns everything that is received until
+ * the peer closes or nothing arrives for aIdleTimeoutMs. */
 std::string Exchange(std::uint16_t aPort,
                      const std::string& aText,
-                     int aQuietMs);
+                     int aIdleTimeoutMs);
 
 } // namespace bamboostile::test
--- a/tests/support/replicas.cpp
+++ b/tests/support/replicas.cpp
@@ -14,12 +14,12 @@
 using consensus::Send;
 
 constexpr Duration kStep = Millis{ 1 };
-constexpr Duration kTickEvery = Millis{ 10 };
+constexpr Duration kTickInterval = Millis{ 10 };
 
 std::string
-AddressOf(std::size_t aAt)
+AddressOf(std::size_t aNode)
 {
-  return "r" + std::to_string(aAt);
+  return "r" + std::to_string(aNode);
 }
 
 std::string
@@ -63,37 +63,38 @@
   , m_nodes(aCount)
 {
   for (std::size_t i = 0; i < aCount; ++i) {
-    m_nodes[i].m_rate = 0.96 + 0.08 * Chance();
+    m_nodes[i].m_rate = 0.96 + 0.08 * RandomFraction();
     LoseDisk(i);
     Start(i);
   }
 }
 
 double
-Replicas::Chance()
+Replicas::RandomFraction()
 {
   return std::uniform_real_distribution<double>{ 0, 1 }(m_random);
 }
 
 Duration
-Replicas::RandomUpTo(Duration aMost)
+Replicas::RandomUpTo(Duration aMax)
 {
-  return Duration{ static_cast<Duration::rep>(Chance() * aMost.count()) };
+  return Duration{ static_cast<Duration::rep>(RandomFraction() *
+                                              aMax.count()) };
 }
 
 void
-Replicas::Fail(const std::string& aWhat)
+Replicas::ReportViolation(const std::string& aViolation)
 {
   if (m_violation.empty()) {
-    m_violation = aWhat;
+    m_violation = aViolation;
   }
 }
 
 TimePoint
-Replicas::LocalNow(std::size_t aAt) const
+Replicas::LocalNow(std::size_t aNode) const
 {
   return TimePoint{ Duration{ static_cast<Duration::rep>(
-    m_now.time_since_epoch().count() * m_nodes[aAt].m_rate) } };
+    m_now.time_since_epoch().count() * m_nodes[aNode].m_rate) } };
 }
 
 bool
@@ -113,8 +114,9 @@
         return false;
       }
       const auto& membership = At(*leader).CurrentMembership();
-      const std::size_t most = m_faults.m_options.m_maxVoters;
-      const std::size_t voters = most == 0 ? i + 1 : std::min(i + 1, most);
+      const std::size_t maxVoters = m_faults.m_options.m_maxVoters;
+      const std::size_t voters =
+        maxVoters == 0 ? i + 1 : std::min(i + 1, maxVoters);
       return membership.m_members.size() == i + 1 &&
              membership.VoterCount() == voters;
     };
@@ -142,7 +144,7 @@
     if (aDone()) {
       return true;
     }
-    Run(kTickEvery);
+    Run(kTickInterval);
   }
   return aDone();
 }
@@ -163,7 +165,7 @@
     m_events.erase(m_events.begin());
     Deliver(std::move(event));
   }
-  if (m_now.time_since_epoch() % kTickEvery == Duration::zero()) {
+  if (m_now.time_since_epoch() % kTickInterval == Duration::zero()) {
     for (std::size_t i = 0; i < Size(); ++i) {
       if (IsUp(i) && !m_nodes[i].m_frozen) {
         At(i).Tick(LocalNow(i));
@@ -178,11 +180,12 @@
 Replicas::Deliver(Event aEvent)
 {
   Node& node = m_nodes[aEvent.m_node];
-  if (node.m_replica == nullptr || node.m_life != aEvent.m_life) {
+  if (node.m_replica == nullptr || node.m_generation != aEvent.m_generation) {
     return;
   }
-  // A frozen process finds everything in its buffers when it wakes, in order:
-  // a write that overtook another would leave a gap in the log on disk.
+  // A frozen process reads all events from its buffers in order when it
+  // resumes: a write that overtook another would leave a gap in the log on
+  // disk.
   if (node.m_frozen) {
     node.m_backlog.push_back(std::move(aEvent));
     return;
@@ -198,72 +201,76 @@
 }
 
 void
-Replicas::Drain(std::size_t aAt)
+Replicas::Drain(std::size_t aNode)
 {
-  for (consensus::Action& action : At(aAt).TakeActions()) {
-    Handle(aAt, std::move(action));
+  for (consensus::Action& action : At(aNode).TakeActions()) {
+    Handle(aNode, std::move(action));
   }
-  if (At(aAt).CurrentRole() == consensus::Role::kLeader) {
+  if (At(aNode).CurrentRole() == consensus::Role::kLeader) {
     const auto [found, isNew] =
-      m_leaders.try_emplace(At(aAt).CurrentTerm(), At(aAt).Self());
-    if (found->second != At(aAt).Self()) {
-      Fail("two leaders in term " + std::to_string(found->first.Get()));
+      m_leaders.try_emplace(At(aNode).CurrentTerm(), At(aNode).Self());
+    if (found->second != At(aNode).Self()) {
+      ReportViolation("two leaders in term " +
+                      std::to_string(found->first.Get()));
     }
   }
 }
 
 void
-Replicas::Handle(std::size_t aAt, consensus::Action aAction)
+Replicas::Handle(std::size_t aNode, consensus::Action aAction)
 {
   std::visit(
     Overloaded{
       [&](Persist& aPersist) {
-        // One disk works in order: never earlier than the write before.
+        // A disk syncs writes in order, none earlier than the one before.
         TimePoint at = m_now + RandomUpTo(m_faults.m_maxSync);
         for (const auto& [time, event] : m_events) {
-          const bool same = event.m_node == aAt && event.m_persist &&
-                            event.m_life == m_nodes[aAt].m_life;
+          const bool same = event.m_node == aNode && event.m_persist &&
+                            event.m_generation == m_nodes[aNode].m_generation;
           at = same ? std::max(at, time) : at;
         }
-        m_events.emplace(
-          at,
-          Event{ aAt, m_nodes[aAt].m_life, std::nullopt, std::move(aPersist) });
+        m_events.emplace(at,
+                         Event{ aNode,
+                                m_nodes[aNode].m_generation,
+                                std::nullopt,
+                                std::move(aPersist) });
       },
       [&](Send& aSend) {
         const auto to = NodeOf(aSend.m_message.m_to);
-        if (!to || m_cuts.contains({ aAt, *to }) ||
-            Chance() < m_faults.m_loss) {
+        if (!to || m_cuts.contains({ aNode, *to }) ||
+            RandomFraction() < m_faults.m_loss) {
           return;
         }
-        const int copies = Chance() < m_faults.m_duplicate ? 2 : 1;
+        const int copies = RandomFraction() < m_faults.m_duplicate ? 2 : 1;
         for (int i = 0; i < copies; ++i) {
           m_events.emplace(
             m_now + RandomUpTo(m_faults.m_maxDelay),
-            Event{ *to, m_nodes[*to].m_life, aSend.m_message, std::nullopt });
+            Event{
+              *to, m_nodes[*to].m_generation, aSend.m_message, std::nullopt });
         }
       },
       [&](Apply& aApply) {
         for (const auto& entry : aApply.m_entries) {
-          Record(aAt, entry);
+          RecordApplied(aNode, entry);
         }
       },
       [&](Restore& aRestore) {
-        m_nodes[aAt].m_applied = aRestore.m_snapshot.m_index;
-        if (aRestore.m_snapshot.m_state != StateOf(aAt)) {
-          Fail("a snapshot differs from the history");
+        m_nodes[aNode].m_applied = aRestore.m_snapshot.m_index;
+        if (aRestore.m_snapshot.m_state != StateOf(aNode)) {
+          ReportViolation("a snapshot differs from the history");
         }
       },
     },
     aAction);
 }
 
-/** The state is the whole history up to what was applied. */
+/** The state is the whole history up to the last applied entry. */
 std::string
-Replicas::StateOf(std::size_t aAt) const
+Replicas::StateOf(std::size_t aNode) const
 {
   std::string state;
   for (const auto& [index, text] : m_history) {
-    if (index > m_nodes[aAt].m_applied) {
+    if (index > m_nodes[aNode].m_applied) {
       break;
     }
     state += text + ";";
@@ -272,19 +279,19 @@
 }
 
 void
-Replicas::Record(std::size_t aAt, const consensus::LogEntry& aEntry)
+Replicas::RecordApplied(std::size_t aNode, const consensus::LogEntry& aEntry)
 {
-  Node& node = m_nodes[aAt];
+  Node& node = m_nodes[aNode];
   if (aEntry.m_index != Next(node.m_applied)) {
-    Fail("replica " + std::to_string(aAt) + " skipped to " +
-         std::to_string(aEntry.m_index.Get()));
+    ReportViolation("replica " + std::to_string(aNode) + " skipped to " +
+                    std::to_string(aEntry.m_index.Get()));
   }
   node.m_applied = aEntry.m_index;
   const std::string text = TextOf(aEntry);
   const auto [found, isNew] = m_history.try_emplace(aEntry.m_index, text);
   if (found->second != text) {
-    Fail("position " + std::to_string(aEntry.m_index.Get()) + " was " +
-         found->second + " and became " + text);
+    ReportViolation("position " + std::to_string(aEntry.m_index.Get()) +
+                    " was " + found->second + " and became " + text);
   }
   if (node.m_replica->CurrentRole() == consensus::Role::kLeader) {
     m_acknowledged[aEntry.m_index] = text;
@@ -295,16 +302,16 @@
 Replicas::CheckLeases()
 {
   for (std::size_t i = 0; i < Size(); ++i) {
-    const bool answers = IsUp(i) && !m_nodes[i].m_frozen && At(i).IsReady() &&
-                         At(i).HoldsLease(LocalNow(i));
-    if (!answers || m_acknowledged.empty()) {
+    const bool servesReads = IsUp(i) && !m_nodes[i].m_frozen &&
+                             At(i).IsReady() && At(i).HoldsLease(LocalNow(i));
+    if (!servesReads || m_acknowledged.empty()) {
       continue;
     }
     if (m_nodes[i].m_applied < m_acknowledged.rbegin()->first) {
-      Fail("replica " + std::to_string(i) + " answers reads at " +
-           std::to_string(m_nodes[i].m_applied.Get()) + " after " +
-           std::to_string(m_acknowledged.rbegin()->first.Get()) +
-           " was acknowledged");
+      ReportViolation("replica " + std::to_string(i) + " answers reads at " +
+                      std::to_string(m_nodes[i].m_applied.Get()) + " after " +
+                      std::to_string(m_acknowledged.rbegin()->first.Get()) +
+                      " was acknowledged");
     }
   }
 }
@@ -321,54 +328,54 @@
 }
 
 void
-Replicas::Crash(std::size_t aAt)
+Replicas::Crash(std::size_t aNode)
 {
-  m_nodes[aAt].m_replica.reset();
-  ++m_nodes[aAt].m_life;
-  m_nodes[aAt].m_frozen = false;
+  m_nodes[aNode].m_replica.reset();
+  ++m_nodes[aNode].m_generation;
+  m_nodes[aNode].m_frozen = false;
 }
 
 void
-Replicas::Start(std::size_t aAt)
+Replicas::Start(std::size_t aNode)
 {
-  Node& node = m_nodes[aAt];
-  ++node.m_life;
+  Node& node = m_nodes[aNode];
+  ++node.m_generation;
   node.m_applied = Index{};
   consensus::ReplicaOptions options = m_faults.m_options;
   options.m_seed = m_random();
   node.m_replica = std::make_unique<consensus::Replica>(
-    consensus::ReplicaId{ InstanceId{ AddressOf(aAt) },
+    consensus::ReplicaId{ InstanceId{ AddressOf(aNode) },
                           node.m_disk.m_incarnation },
     options,
     node.m_disk.m_state,
-    LocalNow(aAt));
-  Drain(aAt);
+    LocalNow(aNode));
+  Drain(aNode);
 }
 
 void
-Replicas::LoseDisk(std::size_t aAt)
+Replicas::LoseDisk(std::size_t aNode)
 {
-  Crash(aAt);
-  m_nodes[aAt].m_disk = Disk{ {}, Incarnation{ ++m_lastIncarnation } };
+  Crash(aNode);
+  m_nodes[aNode].m_disk = Disk{ {}, Incarnation{ ++m_lastIncarnation } };
 }
 
 void
-Replicas::CopyDisk(std::size_t aAt)
+Replicas::CopyDisk(std::size_t aNode)
 {
-  m_nodes[aAt].m_copy = m_nodes[aAt].m_disk;
+  m_nodes[aNode].m_copy = m_nodes[aNode].m_disk;
 }
 
 void
-Replicas::RestoreDisk(std::size_t aAt)
+Replicas::RestoreDisk(std::size_t aNode)
 {
-  Crash(aAt);
-  m_nodes[aAt].m_disk = m_nodes[aAt].m_copy;
+  Crash(aNode);
+  m_nodes[aNode].m_disk = m_nodes[aNode].m_copy;
 }
 
 void
-Replicas::Freeze(std::size_t aAt, bool aFrozen)
+Replicas::Freeze(std::size_t aNode, bool aFrozen)
 {
-  m_nodes[aAt].m_frozen = aFrozen;
+  m_nodes[aNode].m_frozen = aFrozen;
 }
 
 void
@@ -382,12 +389,12 @@
 }
 
 void
-Replicas::Isolate(std::size_t aAt, bool aIsolated)
+Replicas::Isolate(std::size_t aNode, bool aIsolated)
 {
   for (std::size_t i = 0; i < Size(); ++i) {
-    if (i != aAt) {
-      Cut(aAt, i, aIsolated);
-      Cut(i, aAt, aIsolated);
+    if (i != aNode) {
+      Cut(aNode, i, aIsolated);
+      Cut(i, aNode, aIsolated);
     }
   }
 }
--- a/tests/support/simulated_hosting.cpp
+++ b/tests/support/simulated_hosting.cpp
@@ -10,16 +10,16 @@
 using placement::InstanceState;
 
 constexpr Millis kStep{ 50 };
-constexpr Millis kReportEvery{ 200 };
-/** What the leader assumes at most of reports and of calls on their way. */
-constexpr std::uint32_t kLatestReportMs = 2900;
-constexpr std::uint32_t kLatestObeyMs = 2900;
-constexpr std::uint32_t kShortestDownMs = 2000;
-constexpr std::uint32_t kLongerDownMs = 6000;
+constexpr Millis kReportInterval{ 200 };
+/** Maximum delays of reports and orders that the leader allows for. */
+constexpr std::uint32_t kMaxReportDelayMs = 2900;
+constexpr std::uint32_t kMaxExecutionDelayMs = 2900;
+constexpr std::uint32_t kMinDownMs = 2000;
+constexpr std::uint32_t kMaxExtraDownMs = 6000;
 constexpr Millis kCallTimeout{ 1500 };
 constexpr unsigned kPercent = 100;
-/** Out of a hundred reports, so many are late. */
-constexpr unsigned kLatePercent = 15;
+/** Percentage of reports that are delayed. */
+constexpr unsigned kDelayedPercent = 15;
 
 } // namespace
 
@@ -34,17 +34,18 @@
 }
 
 std::uint32_t
-SimulatedHosting::Random(std::uint32_t aBelow)
+SimulatedHosting::Random(std::uint32_t aLimit)
 {
-  return static_cast<std::uint32_t>(m_random()) % aBelow;
+  return static_cast<std::uint32_t>(m_random()) % aLimit;
 }
 
 SimulatedHosting::Instance&
 SimulatedHosting::InstanceOf(const InstanceId& aId)
 {
-  return *std::find_if(m_instances.begin(),
-                       m_instances.end(),
-                       [&](const Instance& aOne) { return aOne.m_id == aId; });
+  return *std::find_if(
+    m_instances.begin(), m_instances.end(), [&](const Instance& aInstance) {
+      return aInstance.m_id == aId;
+    });
 }
 
 void
@@ -72,9 +73,9 @@
 {
   const auto& wave = m_fleet.State().Maintenance().at(aWave);
   return static_cast<std::uint32_t>(std::count_if(
-    m_instances.begin(), m_instances.end(), [&](const Instance& aOne) {
-      return wave.m_instances.contains(aOne.m_id) &&
-             !aOne.m_maintainedFor.contains(aWave);
+    m_instances.begin(), m_instances.end(), [&](const Instance& aInstance) {
+      return wave.m_instances.contains(aInstance.m_id) &&
+             !aInstance.m_maintainedFor.contains(aWave);
     }));
 }
 
@@ -92,7 +93,7 @@
 SimulatedHosting::ReplaceLeader()
 {
   ++m_term;
-  for (OrderUnderWay& order : m_orders) {
+  for (PendingOrder& order : m_orders) {
     order.m_answerAt.reset();
   }
   m_list.reset();
@@ -115,35 +116,35 @@
 {
   m_now += kStep;
   for (Instance& instance : m_instances) {
-    LiveOn(instance);
+    Advance(instance);
   }
-  for (OrderUnderWay& order : m_orders) {
-    if (order.m_obeyAt && m_now >= *order.m_obeyAt) {
-      Obey(order);
+  for (PendingOrder& order : m_orders) {
+    if (order.m_executeAt && m_now >= *order.m_executeAt) {
+      Execute(order);
     }
   }
-  Lead();
-  std::erase_if(m_orders, [](const OrderUnderWay& aOrder) {
-    return !aOrder.m_obeyAt && !aOrder.m_answerAt;
+  StepLeader();
+  std::erase_if(m_orders, [](const PendingOrder& aOrder) {
+    return !aOrder.m_executeAt && !aOrder.m_answerAt;
   });
 }
 
 void
-SimulatedHosting::LiveOn(Instance& aInstance)
+SimulatedHosting::Advance(Instance& aInstance)
 {
   if (aInstance.m_condition != Condition::kUp) {
     if (m_now < aInstance.m_until) {
       return;
     }
     aInstance.m_condition = Condition::kUp;
-    ++aInstance.m_life;
+    ++aInstance.m_incarnation;
     aInstance.m_sequence = 0;
     aInstance.m_nextReport = m_now;
   }
   if (m_now >= aInstance.m_nextReport) {
-    aInstance.m_nextReport = m_now + kReportEvery;
-    const bool isLate = Random(kPercent) < kLatePercent;
-    const Millis delay{ isLate ? Random(kLatestReportMs) : 0 };
+    aInstance.m_nextReport = m_now + kReportInterval;
+    const bool isDelayed = Random(kPercent) < kDelayedPercent;
+    const Millis delay{ isDelayed ? Random(kMaxReportDelayMs) : 0 };
     m_reports.push_back({ m_now + delay, ReportOf(aInstance) });
   }
 }
@@ -154,47 +155,49 @@
   auto report =
     job_fixtures::Report(aInstance.m_id.Get(), ++aInstance.m_sequence);
   report.m_instance = aInstance.m_id;
-  report.m_worker.m_startedAt = WallTime{ 1 + aInstance.m_life };
+  report.m_worker.m_startedAt = WallTime{ 1 + aInstance.m_incarnation };
   return report;
 }
 
 bool
-SimulatedHosting::IsUnderWay(const placement::MaintenanceOrder& aOrder) const
+SimulatedHosting::IsPending(const placement::MaintenanceOrder& aOrder) const
 {
   return std::any_of(
-    m_orders.begin(), m_orders.end(), [&](const OrderUnderWay& aOne) {
-      return aOne.m_order == aOrder && aOne.m_answerAt.has_value();
+    m_orders.begin(), m_orders.end(), [&](const PendingOrder& aPending) {
+      return aPending.m_order == aOrder && aPending.m_answerAt.has_value();
     });
 }
 
 void
 SimulatedHosting::Send(const placement::MaintenanceOrder& aOrder)
 {
-  OrderUnderWay order{ aOrder, m_term, m_now, m_now + kStep };
+  PendingOrder order{ aOrder, m_term, m_now, m_now + kStep };
   if (Random(kPercent) < m_options.m_failPercent) {
-    // Unheard; and by the time the caller gives up, obeyed or not yet.
+    // The answer is lost. The order may be executed before or after the call
+    // times out, or never.
     order.m_answerAt = m_now + Millis{ Random(2) * kCallTimeout.count() };
-    const bool isObeyed = Random(3) > 0;
-    order.m_obeyAt =
-      isObeyed ? std::optional{ m_now + Millis{ Random(kLatestObeyMs) } }
-               : std::nullopt;
+    const bool isExecuted = Random(3) > 0;
+    order.m_executeAt =
+      isExecuted
+        ? std::optional{ m_now + Millis{ Random(kMaxExecutionDelayMs) } }
+        : std::nullopt;
     m_orders.push_back(order);
     return;
   }
   order.m_answer = Handle(order);
-  order.m_obeyAt.reset();
+  order.m_executeAt.reset();
   m_orders.push_back(order);
 }
 
 void
-SimulatedHosting::Obey(OrderUnderWay& aOrder)
+SimulatedHosting::Execute(PendingOrder& aOrder)
 {
   Handle(aOrder);
-  aOrder.m_obeyAt.reset();
+  aOrder.m_executeAt.reset();
 }
 
 InstanceAnswer
-SimulatedHosting::Handle(const OrderUnderWay& aOrder)
+SimulatedHosting::Handle(const PendingOrder& aOrder)
 {
   Instance& instance = InstanceOf(aOrder.m_order.m_instance);
   if (aOrder.m_term < instance.m_highestTerm) {
@@ -206,8 +209,8 @@
   }
   if (instance.m_maintainedFor.insert(aOrder.m_order.m_wave).second) {
     instance.m_condition = Condition::kMaintained;
-    const std::uint32_t longer = Random(3) == 0 ? Random(kLongerDownMs) : 0;
-    instance.m_until = m_now + Millis{ kShortestDownMs + longer };
+    const std::uint32_t extraMs = Random(3) == 0 ? Random(kMaxExtraDownMs) : 0;
+    instance.m_until = m_now + Millis{ kMinDownMs + extraMs };
     CheckCaps();
   }
   return InstanceAnswer::kTaken;
@@ -221,47 +224,47 @@
       continue;
     }
     std::uint32_t down = 0;
-    for (const Instance& one : m_instances) {
-      down += one.m_condition == Condition::kMaintained &&
-                  wave.m_instances.contains(one.m_id)
+    for (const Instance& instance : m_instances) {
+      down += instance.m_condition == Condition::kMaintained &&
+                  wave.m_instances.contains(instance.m_id)
                 ? 1
                 : 0;
     }
-    m_mostOverCap = std::max(m_mostOverCap, down - std::min(down, wave.m_cap));
+    m_maxOverCap = std::max(m_maxOverCap, down - std::min(down, wave.m_cap));
   }
 }
 
 void
-SimulatedHosting::ReadList()
+SimulatedHosting::RequestList()
 {
   const Millis at = m_now + Millis{ Random(400) };
   if (Random(kPercent) < m_options.m_listFailPercent) {
-    m_list = ListUnderWay{ at, std::nullopt };
+    m_list = PendingList{ at, std::nullopt };
     return;
   }
   placement::InstanceList list{ Time(), {} };
-  for (const Instance& one : m_instances) {
-    // One that has crashed is missing.
-    if (one.m_condition != Condition::kCrashed) {
-      list.m_instances.push_back({ one.m_id,
+  for (const Instance& instance : m_instances) {
+    // The platform doesn't list crashed instances.
+    if (instance.m_condition != Condition::kCrashed) {
+      list.m_instances.push_back({ instance.m_id,
                                    ServiceId{ "desk" },
-                                   one.m_condition == Condition::kUp
+                                   instance.m_condition == Condition::kUp
                                      ? InstanceState::kUp
                                      : InstanceState::kMaintenance });
     }
   }
-  m_list = ListUnderWay{ at, std::move(list) };
+  m_list = PendingList{ at, std::move(list) };
 }
 
 void
-SimulatedHosting::Lead()
+SimulatedHosting::StepLeader()
 {
-  std::erase_if(m_reports, [&](const ReportUnderWay& aOne) {
-    if (m_now < aOne.m_at) {
+  std::erase_if(m_reports, [&](const DelayedReport& aReport) {
+    if (m_now < aReport.m_at) {
       return false;
     }
     m_table->OnReport(
-      aOne.m_report, m_fleet.Book(), Time(), WallTime{ m_now.count() });
+      aReport.m_report, m_fleet.Book(), Time(), WallTime{ m_now.count() });
     return true;
   });
   m_table->FindLost(m_fleet.Book(), Time(), WallTime{ m_now.count() });
@@ -271,7 +274,7 @@
     }
     m_list.reset();
   }
-  for (OrderUnderWay& order : m_orders) {
+  for (PendingOrder& order : m_orders) {
     if (!order.m_answerAt || m_now < *order.m_answerAt) {
       continue;
     }
@@ -282,7 +285,8 @@
       m_table->Retire(
         *result.m_ended, m_fleet.Book(), WallTime{ m_now.count() });
     }
-    // Not every decision is committed before a leader is replaced.
+    // Some decisions are lost, as if the leader were replaced before the
+    // commit.
     if (result.m_advance && Random(20) > 0) {
       m_fleet.Do(result.m_advance->m_change);
     }
@@ -292,12 +296,12 @@
     m_fleet.Do(advance.m_change);
   }
   for (const placement::MaintenanceOrder& order : plan.m_orders) {
-    if (!IsUnderWay(order)) {
+    if (!IsPending(order)) {
       Send(order);
     }
   }
   if (plan.m_wantsList && !m_list) {
-    ReadList();
+    RequestList();
   }
 }
 
--- a/tests/support/simulated_pool.cpp
+++ b/tests/support/simulated_pool.cpp
@@ -7,19 +7,19 @@
 namespace {
 
 constexpr Millis kStep{ 10 };
-constexpr Millis kPass{ 50 };
-constexpr Millis kReportAfterEnd{ 50 };
-constexpr Millis kRetryReport{ 200 };
-constexpr Millis kLookAtMoves{ 100 };
-constexpr Millis kMoveTakes{ 1'500 };
+constexpr Millis kPlanInterval{ 50 };
+constexpr Millis kEndReportDelay{ 50 };
+constexpr Millis kReportInterval{ 200 };
+constexpr Millis kMovePollInterval{ 100 };
+constexpr Millis kMoveDuration{ 1'500 };
 constexpr Millis kGangTimeout{ 3'000 };
 constexpr Millis kStartupOfLongRunning{ 300 };
-constexpr std::int64_t kTimeOfDay = 1'790'000'000'000;
-constexpr std::uint32_t kCrashesCounted = 3;
+constexpr std::int64_t kInitialWallTimeMs = 1'790'000'000'000;
+constexpr std::uint32_t kCrashThreshold = 3;
 constexpr std::uint32_t kDonePercent = 100;
 
 bool
-AreOfOneStep(const jobs::TaskRef& aLeft, const jobs::TaskRef& aRight)
+AreOfSameStep(const jobs::TaskRef& aLeft, const jobs::TaskRef& aRight)
 {
   return aLeft.m_job == aRight.m_job &&
          aLeft.m_occurrence == aRight.m_occurrence &&
@@ -46,8 +46,9 @@
     SimulatedWorker& worker = m_workers.emplace_back();
     worker.m_instance = "i" + std::to_string(i);
     worker.m_capacity = m_options.m_capacity;
-    worker.m_startedAt = kTimeOfDay;
-    worker.m_nextReport = m_now + Millis{ m_random() % kRetryReport.count() };
+    worker.m_startedAt = kInitialWallTimeMs;
+    worker.m_nextReport =
+      m_now + Millis{ m_random() % kReportInterval.count() };
     if (i >= m_options.m_workers) {
       worker.m_downUntil = Millis::max();
     }
@@ -87,27 +88,27 @@
   std::vector<SimulatedWorker*> reporting;
   for (SimulatedWorker& worker : m_workers) {
     for (Run& run : worker.m_runs) {
-      run.m_wasTogether = IsTogether(run);
+      run.m_gangWasComplete = IsGangComplete(run);
     }
   }
   for (SimulatedWorker& worker : m_workers) {
-    Live(worker);
+    Advance(worker);
     if (!worker.m_downUntil && m_now >= worker.m_cutUntil &&
         m_now >= worker.m_nextReport) {
       reporting.push_back(&worker);
     }
   }
-  if (m_now >= m_leaderFrom) {
-    Lead(reporting);
+  if (m_now >= m_leaderStartsAt) {
+    StepLeader(reporting);
     return;
   }
   for (SimulatedWorker* worker : reporting) {
-    worker->m_nextReport = m_now + kRetryReport;
+    worker->m_nextReport = m_now + kReportInterval;
   }
 }
 
 void
-SimulatedPool::Live(SimulatedWorker& aWorker)
+SimulatedPool::Advance(SimulatedWorker& aWorker)
 {
   if (aWorker.m_crashAt && m_now >= *aWorker.m_crashAt) {
     Crash(aWorker, m_options.m_restartTakes);
@@ -126,7 +127,7 @@
 SimulatedPool::Crash(SimulatedWorker& aWorker, Millis aDown)
 {
   const std::vector<Run> lost = std::exchange(aWorker.m_runs, {});
-  ++aWorker.m_life;
+  ++aWorker.m_incarnation;
   aWorker.m_sequence = 0;
   aWorker.m_lastEnd = 0;
   aWorker.m_ended.clear();
@@ -146,7 +147,7 @@
     for (SimulatedWorker& worker : m_workers) {
       std::erase_if(worker.m_runs, [&](const Run& aRun) {
         const bool isMember =
-          AreOfOneStep(aRun.m_order.m_task, lost.m_order.m_task);
+          AreOfSameStep(aRun.m_order.m_task, lost.m_order.m_task);
         if (isMember) {
           AddEnd(worker, aRun, jobs::RunEnd::kGangBroken);
         }
@@ -159,29 +160,29 @@
 void
 SimulatedPool::EndRuns(SimulatedWorker& aWorker)
 {
-  const bool isLapsed = m_now > aWorker.m_leaseEnd;
+  const bool isLeaseExpired = m_now > aWorker.m_leaseEnd;
   std::erase_if(aWorker.m_runs, [&](const Run& aRun) {
-    const Millis age = m_now - aRun.m_since;
-    const bool isTogether = IsTogether(aRun);
-    const bool isAlone = !isTogether && age >= kGangTimeout;
-    const bool isDone = isTogether && age >= aRun.m_takes;
+    const Millis age = m_now - aRun.m_startedAt;
+    const bool isComplete = IsGangComplete(aRun);
+    const bool isAlone = !isComplete && age >= kGangTimeout;
+    const bool isDone = isComplete && age >= aRun.m_duration;
     const bool isStopped = aRun.m_stopAt && m_now >= *aRun.m_stopAt;
     if (isStopped && !isDone) {
       AddEnd(aWorker, aRun, jobs::RunEnd::kStopped);
     } else if (isDone) {
       AddEnd(aWorker, aRun, jobs::RunEnd::kDone);
-    } else if (isLapsed || isAlone) {
+    } else if (isLeaseExpired || isAlone) {
       AddEnd(aWorker,
              aRun,
              isAlone ? jobs::RunEnd::kGangIncomplete
                      : jobs::RunEnd::kLeaseExpired);
     }
-    return isLapsed || isAlone || isDone || isStopped;
+    return isLeaseExpired || isAlone || isDone || isStopped;
   });
 }
 
 bool
-SimulatedPool::IsTogether(const Run& aRun) const
+SimulatedPool::IsGangComplete(const Run& aRun) const
 {
   if (!aRun.m_step.m_gang) {
     return true;
@@ -191,91 +192,92 @@
     present += static_cast<std::uint32_t>(std::count_if(
       worker.m_runs.begin(), worker.m_runs.end(), [&](const Run& aOther) {
         return aOther.m_order.m_run == aRun.m_order.m_run &&
-               AreOfOneStep(aOther.m_order.m_task, aRun.m_order.m_task);
+               AreOfSameStep(aOther.m_order.m_task, aRun.m_order.m_task);
       }));
   }
-  return present == aRun.m_step.m_count || aRun.m_wasTogether;
+  return present == aRun.m_step.m_count || aRun.m_gangWasComplete;
 }
 
 void
 SimulatedPool::AddEnd(SimulatedWorker& aWorker,
                       const Run& aRun,
-                      jobs::RunEnd aHow)
+                      jobs::RunEnd aEnd)
 {
   aWorker.m_ended.push_back(
-    { ++aWorker.m_lastEnd, aRun.m_order.m_task, aRun.m_order.m_run, aHow, "" });
+    { ++aWorker.m_lastEnd, aRun.m_order.m_task, aRun.m_order.m_run, aEnd, "" });
   aWorker.m_nextReport =
-    std::min(aWorker.m_nextReport, m_now + kReportAfterEnd);
+    std::min(aWorker.m_nextReport, m_now + kEndReportDelay);
 }
 
 placement::RunReport
-SimulatedPool::Show(const Run& aRun) const
-{
-  const Millis age = m_now - aRun.m_since;
-  const Millis takes =
-    aRun.m_step.m_longRunning ? kStartupOfLongRunning : aRun.m_takes;
-  placement::RunReport shown;
-  shown.m_task = aRun.m_order.m_task;
-  shown.m_run = aRun.m_order.m_run;
-  shown.m_percent = static_cast<std::uint32_t>(
-    std::min<std::int64_t>(kDonePercent, age * kDonePercent / takes));
-  return shown;
+SimulatedPool::MakeRunReport(const Run& aRun) const
+{
+  const Millis age = m_now - aRun.m_startedAt;
+  const Millis duration =
+    aRun.m_step.m_longRunning ? kStartupOfLongRunning : aRun.m_duration;
+  placement::RunReport report;
+  report.m_task = aRun.m_order.m_task;
+  report.m_run = aRun.m_order.m_run;
+  report.m_percent = static_cast<std::uint32_t>(
+    std::min<std::int64_t>(kDonePercent, age * kDonePercent / duration));
+  return report;
 }
 
 WorkerLife
-SimulatedPool::LifeOf(const SimulatedWorker& aWorker) const
+SimulatedPool::IncarnationOf(const SimulatedWorker& aWorker) const
 {
   return m_options.m_keepsIds
            ? job_fixtures::Life(aWorker.m_instance, aWorker.m_startedAt)
            : job_fixtures::Life(aWorker.m_instance + "-" +
-                                std::to_string(aWorker.m_life));
+                                std::to_string(aWorker.m_incarnation));
 }
 
-/** By a time of day that is set back now and then. */
+/** Returns the start time by a wall clock that is sometimes set back by an
+ * hour. */
 std::int64_t
 SimulatedPool::NextStart(Millis aAt)
 {
   const bool isSetBack = m_options.m_keepsIds && m_random() % 8 == 0;
-  return kTimeOfDay + aAt.count() - (isSetBack ? 3'600'000 : 0);
+  return kInitialWallTimeMs + aAt.count() - (isSetBack ? 3'600'000 : 0);
 }
 
 placement::WorkerReport
 SimulatedPool::ReportOf(SimulatedWorker& aWorker) const
 {
   placement::WorkerReport report;
-  report.m_worker = LifeOf(aWorker);
+  report.m_worker = IncarnationOf(aWorker);
   report.m_instance = InstanceId{ aWorker.m_instance };
   report.m_service = ServiceId{ "desk" };
   report.m_capacity = aWorker.m_capacity;
   report.m_sequence = ++aWorker.m_sequence;
   report.m_ended = aWorker.m_ended;
   for (const Run& run : aWorker.m_runs) {
-    report.m_active.push_back(Show(run));
+    report.m_active.push_back(MakeRunReport(run));
   }
   return report;
 }
 
 void
-SimulatedPool::Lead(const std::vector<SimulatedWorker*>& aReporting)
+SimulatedPool::StepLeader(const std::vector<SimulatedWorker*>& aReporting)
 {
   const jobs::Book& book = m_fleet.Book();
   std::vector<jobs::EndRun> ends;
   const auto add = [&](const std::vector<jobs::EndRun>& aMore) {
     ends.insert(ends.end(), aMore.begin(), aMore.end());
   };
-  for (const placement::WorkerReport& late : TakeLate()) {
-    add(m_table->OnReport(late, book, Time(), Wall()).m_ends);
+  for (const placement::WorkerReport& report : TakeDelayedReports()) {
+    add(m_table->OnReport(report, book, Time(), Wall()).m_ends);
   }
   bool hasChanged = false;
   std::vector<SimulatedWorker*> answered;
   for (SimulatedWorker* worker : aReporting) {
     worker->m_latest = ReportOf(*worker);
-    worker->m_nextReport = m_now + kRetryReport;
-    const auto heard =
+    worker->m_nextReport = m_now + kReportInterval;
+    const auto result =
       m_table->OnReport(worker->m_latest, book, Time(), Wall());
-    add(heard.m_ends);
-    hasChanged = hasChanged || heard.m_changed;
-    if (!heard.m_ignored) {
+    add(result.m_ends);
+    hasChanged = hasChanged || result.m_changed;
+    if (!result.m_ignored) {
       answered.push_back(worker);
     }
   }
@@ -291,7 +293,7 @@
   m_fleet.Apply(std::move(changes));
   m_table->Acknowledge(m_table->TakeReceipts());
   if (!ends.empty() || hasChanged || m_now >= m_nextPass) {
-    m_nextPass = m_now + kPass;
+    m_nextPass = m_now + kPlanInterval;
     placement::Plan plan =
       m_planner.Next(m_fleet.State(), *m_table, m_cordoned, Time(), Wall());
     m_fleet.Apply(std::move(plan.m_changes));
@@ -300,22 +302,23 @@
     if (m_table->Find(worker->m_latest.m_worker) == nullptr) {
       continue;
     }
-    Obey(*worker, m_table->Answer(worker->m_latest.m_worker, book, Time()));
+    FollowOrders(*worker,
+                 m_table->Answer(worker->m_latest.m_worker, book, Time()));
   }
 }
 
 void
 SimulatedPool::ListStandby()
 {
-  std::vector<placement::ListedInstance> off;
+  std::vector<placement::ListedInstance> standby;
   for (const SimulatedWorker& worker : m_workers) {
     if (worker.m_downUntil == Millis::max()) {
-      off.push_back({ InstanceId{ worker.m_instance },
-                      ServiceId{ kStandby },
-                      placement::InstanceState::kUp });
+      standby.push_back({ InstanceId{ worker.m_instance },
+                          ServiceId{ kStandby },
+                          placement::InstanceState::kUp });
     }
   }
-  m_capacity.OnListed(off, ServiceId{ kStandby }, Time());
+  m_capacity.OnListed(standby, ServiceId{ kStandby }, Time());
 }
 
 void
@@ -324,7 +327,7 @@
   if (m_options.m_spares == 0 || m_now < m_nextMoves) {
     return;
   }
-  m_nextMoves = m_now + kLookAtMoves;
+  m_nextMoves = m_now + kMovePollInterval;
   ListStandby();
   const auto plan = m_capacity.Next(m_fleet.State(),
                                     *m_table,
@@ -336,11 +339,11 @@
   m_cordoned = plan.m_cordoned;
   for (const placement::MoveOrder& order : plan.m_orders) {
     SimulatedWorker& worker = *std::find_if(
-      m_workers.begin(), m_workers.end(), [&](const SimulatedWorker& aOne) {
-        return aOne.m_instance == order.m_instance.Get();
+      m_workers.begin(), m_workers.end(), [&](const SimulatedWorker& aWorker) {
+        return aWorker.m_instance == order.m_instance.Get();
       });
     const bool isOut = order.m_to.Get() == kStandby;
-    Crash(worker, kMoveTakes);
+    Crash(worker, kMoveDuration);
     worker.m_downUntil = isOut ? Millis::max() : worker.m_downUntil;
     const auto ended =
       m_capacity.OnAnswer(order, placement::InstanceAnswer::kTaken, Time());
@@ -353,13 +356,13 @@
 }
 
 std::vector<placement::WorkerReport>
-SimulatedPool::TakeLate()
+SimulatedPool::TakeDelayedReports()
 {
   std::vector<placement::WorkerReport> due;
-  std::erase_if(m_late, [&](LateReport& aOne) {
-    const bool isDue = m_now >= aOne.m_at;
+  std::erase_if(m_delayedReports, [&](DelayedReport& aReport) {
+    const bool isDue = m_now >= aReport.m_at;
     if (isDue) {
-      due.push_back(std::move(aOne.m_report));
+      due.push_back(std::move(aReport.m_report));
     }
     return isDue;
   });
@@ -369,19 +372,21 @@
 bool
 SimulatedPool::IsRunning(const jobs::TaskRef& aTask) const
 {
-  return std::any_of(m_workers.begin(), m_workers.end(), [&](const auto& aOne) {
-    return std::any_of(
-      aOne.m_runs.begin(), aOne.m_runs.end(), [&](const Run& aRun) {
-        return aRun.m_order.m_task == aTask;
-      });
-  });
+  return std::any_of(
+    m_workers.begin(), m_workers.end(), [&](const auto& aWorker) {
+      return std::any_of(
+        aWorker.m_runs.begin(), aWorker.m_runs.end(), [&](const Run& aRun) {
+          return aRun.m_order.m_task == aTask;
+        });
+    });
 }
 
 void
-SimulatedPool::Obey(SimulatedWorker& aWorker, const placement::Orders& aOrders)
+SimulatedPool::FollowOrders(SimulatedWorker& aWorker,
+                            const placement::Orders& aOrders)
 {
   aWorker.m_leaseEnd = m_now + ToMillis(aOrders.m_lease);
-  // The report of a quiet worker is held until there is an order for it.
+  // The leader holds a quiet worker's report until it has an order for it.
   const bool isHeld =
     m_table->IsQuiet(aWorker.m_latest.m_worker, m_fleet.Book());
   aWorker.m_nextReport =
@@ -395,10 +400,10 @@
   });
   for (const placement::StopOrder& stop : aOrders.m_stops) {
     for (Run& run : aWorker.m_runs) {
-      const bool isMeant =
+      const bool isMatch =
         run.m_order.m_task == stop.m_task && run.m_order.m_run == stop.m_run;
-      if (isMeant && !run.m_stopAt) {
-        run.m_stopAt = m_now + StopTime();
+      if (isMatch && !run.m_stopAt) {
+        run.m_stopAt = m_now + StopDuration();
       }
     }
   }
@@ -409,10 +414,10 @@
 }
 
 Millis
-SimulatedPool::StopTime()
+SimulatedPool::StopDuration()
 {
-  const auto most = m_options.m_stopTakes.count();
-  return most == 0 ? Millis{} : Millis{ m_random() % most };
+  const auto max = m_options.m_stopTakes.count();
+  return max == 0 ? Millis{} : Millis{ m_random() % max };
 }
 
 bool
@@ -426,27 +431,29 @@
 SimulatedPool::Start(SimulatedWorker& aWorker,
                      const placement::StartOrder& aOrder)
 {
-  const bool isThere = std::any_of(
+  const bool isAlreadyRunning = std::any_of(
     aWorker.m_runs.begin(), aWorker.m_runs.end(), [&](const Run& aRun) {
       return aRun.m_order.m_task == aOrder.m_task;
     });
-  if (isThere) {
+  if (isAlreadyRunning) {
     return;
   }
   TaskRecord& record = m_records[aOrder.m_task];
   ++record.m_starts;
   record.m_overlaps += IsRunning(aOrder.m_task) ? 1 : 0;
   record.m_startsAfterDone += record.m_isDoneAcked ? 1 : 0;
-  if (record.m_crashes >= kCrashesCounted) {
+  if (record.m_crashes >= kCrashThreshold) {
     ++record.m_startsAfterThreeCrashes;
   }
   const jobs::StepSpec& step = m_fleet.Book()
                                  .Find(aOrder.m_task.m_job)
                                  ->m_spec.m_steps[aOrder.m_task.m_step];
-  const Millis takes = step.m_longRunning ? Millis::max() / 2 : step.m_estimate;
-  m_startsOverRoom += UseOf(aWorker).Leaves(aWorker.m_capacity, step) ? 0 : 1;
+  const Millis duration =
+    step.m_longRunning ? Millis::max() / 2 : step.m_estimate;
+  m_startsOverCapacity +=
+    UseOf(aWorker).Leaves(aWorker.m_capacity, step) ? 0 : 1;
   aWorker.m_runs.push_back(
-    { aOrder, m_now, takes, !step.m_gang, step, std::nullopt });
+    { aOrder, m_now, duration, !step.m_gang, step, std::nullopt });
   if (Crashes(aOrder)) {
     ++record.m_crashes;
     ++m_crashesByTasks;
@@ -488,15 +495,15 @@
 void
 SimulatedPool::DelayReport(std::uint32_t aWorker, Millis aDelay)
 {
-  m_late.push_back({ m_now + aDelay, m_workers[aWorker].m_latest });
+  m_delayedReports.push_back({ m_now + aDelay, m_workers[aWorker].m_latest });
 }
 
 void
 SimulatedPool::ReplaceLeader(Millis aGap)
 {
   m_fleet.Restore();
-  m_leaderFrom = m_now + aGap;
-  m_table.emplace(placement::LeaseOptions{}, TimePoint{ m_leaderFrom });
+  m_leaderStartsAt = m_now + aGap;
+  m_table.emplace(placement::LeaseOptions{}, TimePoint{ m_leaderStartsAt });
   m_planner = placement::Planner{};
   m_capacity = placement::CapacityPlanner{};
   m_cordoned.clear();
@@ -523,11 +530,11 @@
 std::uint32_t
 SimulatedPool::MostStartsAfterThreeCrashes() const
 {
-  std::uint32_t most = 0;
+  std::uint32_t max = 0;
   for (const auto& [task, record] : m_records) {
-    most = std::max(most, record.m_startsAfterThreeCrashes);
+    max = std::max(max, record.m_startsAfterThreeCrashes);
   }
-  return most;
+  return max;
 }
 
 std::uint32_t
