--- a/tests/failure/control_test.cpp
+++ b/tests/failure/control_test.cpp
@@ -33,22 +33,23 @@
 }
 
 bool
-AllVote(Processes& aProcesses)
+AllVoteAndAreSynced(Processes& aProcesses)
 {
   std::size_t voters = 0;
   const Json status = aProcesses.Status();
   const Json replicas = status.value("replicas", Json::array());
-  for (const Json& one : replicas) {
-    const bool synced = one.at("behind") == 0;
-    voters += one.at("voter").get<bool>() && synced ? 1 : 0;
+  for (const Json& replica : replicas) {
+    const bool synced = replica.at("behind") == 0;
+    voters += replica.at("voter").get<bool>() && synced ? 1 : 0;
   }
   return voters == 3 && replicas.size() == 3;
 }
 }
 ;
 
-// The power fails everywhere at once, after hundreds of changes. What was
-// acknowledged is there again, and the configuration has not gone back.
+// Guards against the loss of acknowledged changes, or a return to an older
+// configuration, when all replicas are killed at once after hundreds of
+// changes.
 TEST(Control, AllKilledAtOnce_AfterHundredsOfChanges_StateIsBack)
 {
   Processes processes(22000);
@@ -73,9 +74,9 @@
   CHECK(processes.Status().at("snapshot").get<std::uint64_t>() >= 200);
 }
 
-// A replica comes back with an empty folder. It cannot vote: with one of the
-// two others away, two processes run and there is no leader. Admitted and
-// synced, it counts again, and the next loss right behind costs nothing.
+// Guards against data loss when a second replica is lost right after the first
+// came back with an empty folder. Until it is admitted and synced, it must not
+// vote: with one of the two others frozen, two processes run without a leader.
 TEST(Control, EmptyFolder_ThenSecondLoss_NothingAcknowledgedIsLost)
 {
   Processes processes(22100);
@@ -86,15 +87,16 @@
   processes.StartControl(3);
   LONGS_EQUAL(0, PutPool(processes, "p2"));
   processes.Signal("c2", SIGSTOP);
-  const auto alone = processes.Cli(
+  const auto withoutQuorum = processes.Cli(
     { "pool", "put", "p3", "--service", "desk", "--patience-ms", "3000" });
-  LONGS_EQUAL(3, alone.m_exit);
+  LONGS_EQUAL(3, withoutQuorum.m_exit);
   processes.Signal("c2", SIGCONT);
   const auto admitted = [&]() {
     return processes.Cli({ "control", "add", processes.Rpc(3) }).m_exit == 0;
   };
   CHECK(processes.Until(admitted, kLimit));
-  CHECK(processes.Until([&]() { return AllVote(processes); }, kLimit));
+  CHECK(
+    processes.Until([&]() { return AllVoteAndAreSynced(processes); }, kLimit));
   processes.Kill("c1");
   std::filesystem::remove_all(processes.Folder() / "c1");
   CHECK(processes.Until(
@@ -103,27 +105,29 @@
   LONGS_EQUAL(0, PutPool(processes, "p4"));
 }
 
-// Two operators change the same pool, having seen the same revision. One wins;
-// the other is refused, with the winner's name, and nothing of his is done.
+// Guards against lost updates when two operators change the same pool from the
+// same revision. The second change must be rejected as a whole, with the name
+// of the first operator.
 TEST(Control, TwoOperators_EqualRevisions_ExactlyOneWins)
 {
   Processes processes(22200);
   processes.StartAll();
   const Json pool = processes.Status().at("pools").at(0);
-  const std::string seen =
+  const std::string revision =
     std::to_string(pool.at("change").at("revision").get<std::uint64_t>());
   const auto first = processes.Cli(
-    { "pool", "drain", "old", "--expect", seen, "--operator", "anna" });
+    { "pool", "drain", "old", "--expect", revision, "--operator", "anna" });
   const auto second = processes.Cli(
-    { "pool", "resume", "old", "--expect", seen, "--operator", "ben" });
+    { "pool", "resume", "old", "--expect", revision, "--operator", "ben" });
   LONGS_EQUAL(0, first.m_exit);
   LONGS_EQUAL(1, second.m_exit);
   CHECK(second.m_text.find("changed by anna") != std::string::npos);
   CHECK(processes.Status().at("pools").at(0).at("draining").get<bool>());
 }
 
-// The answer to a call is lost; it is sent again with its id after the leader
-// changed, and after a full restart. It gets the first answer both times.
+// Guards against a call that is executed again when its answer is lost and it
+// is resent under the same id, after a change of leader and after a full
+// restart. Both times it must get the first answer.
 TEST(Control, Call_ResentAfterLeaderChangeAndRestart_GetsFirstAnswer)
 {
   Processes processes(22300);
@@ -137,21 +141,22 @@
   const Json answer = Json::parse(first.m_text);
   const std::string leader = processes.LeaderName();
   processes.Kill(leader);
-  const Json again = Json::parse(processes.Cli(call).m_text);
-  CHECK(again.at("revision") == answer.at("revision"));
-  CHECK(again.at("outcome") == "done");
+  const Json resentAfterLeaderChange = Json::parse(processes.Cli(call).m_text);
+  CHECK(resentAfterLeaderChange.at("revision") == answer.at("revision"));
+  CHECK(resentAfterLeaderChange.at("outcome") == "done");
   for (const std::string name : { "c1", "c2", "c3" }) {
     if (name != leader) {
       processes.Kill(name);
     }
     processes.StartControl(name.back() - '0');
   }
-  const Json third = Json::parse(processes.Cli(call).m_text);
-  CHECK(third.at("revision") == answer.at("revision"));
+  const Json resentAfterRestart = Json::parse(processes.Cli(call).m_text);
+  CHECK(resentAfterRestart.at("revision") == answer.at("revision"));
 }
 
-// A record in the middle of the log is damaged while the replica is down. It
-// refuses to start, naming file and offset; the group goes on without it.
+// Guards against a replica that starts with a damaged record in the middle of
+// its log. It must refuse to start and name file and offset, while the group
+// goes on without it.
 TEST(Control, DamagedFolder_IsRefusedWithFileAndOffset_GroupGoesOn)
 {
   Processes processes(22400);
@@ -175,8 +180,8 @@
   LONGS_EQUAL(0, PutPool(processes, "after"));
 }
 
-// An entry restarts without a disk. It serves only with the newest accepted
-// configuration, never with an older one.
+// Guards against an entry that serves with an old configuration after a
+// restart, since it has no disk. It must wait for the newest accepted one.
 TEST(Control, Config_ThroughEntryRestart_NeverGoesBack)
 {
   Processes processes(22500);
@@ -204,7 +209,8 @@
   }
 }
 
-// Bad input ends with code 2 and names the field; nothing is changed by it.
+// Guards against invalid input that is accepted or reported unclearly. The
+// command must exit with code 2, name the field and change nothing.
 TEST(Control, BadInput_ExitsWithTwoAndNamesTheField)
 {
   Processes processes(22600);
@@ -228,7 +234,8 @@
   LONGS_EQUAL(2, field.m_exit);
 }
 
-// A replica is removed and put back by operator calls while requests flow.
+// Guards against lost or doubled requests while operator calls remove a replica
+// and add it again.
 TEST(Control, ReplicaRemovedAndAdded_UnderTraffic_NothingIsDisturbed)
 {
   Processes processes(22700);
@@ -253,7 +260,8 @@
              .m_exit == 0;
   };
   CHECK(processes.Until(added, kLimit));
-  CHECK(processes.Until([&]() { return AllVote(processes); }, kLimit));
+  CHECK(
+    processes.Until([&]() { return AllVoteAndAreSynced(processes); }, kLimit));
   const Json result = processes.CallerResult("load");
   LONGS_EQUAL(0, result.value("lost", 99));
   LONGS_EQUAL(0, result.value("doubled", 99));
--- a/tests/failure/jobs_test.cpp
+++ b/tests/failure/jobs_test.cpp
@@ -14,8 +14,8 @@
 
 constexpr Millis kLimit{ 30'000 };
 constexpr int kJobs = 30;
-/** Two more after three crashes. */
-constexpr int kMostStartsOfCrashingTask = 5;
+/** Two more starts are allowed after three crashes. */
+constexpr int kMaxStartsOfCrashingTask = 5;
 
 } // namespace
 
@@ -81,8 +81,8 @@
 }
 
 static void
-CheckCrashingJobIsGivenUp(Processes& aProcesses,
-                          const std::vector<std::string>& aOptions)
+CheckCrashingJobFails(Processes& aProcesses,
+                      const std::vector<std::string>& aOptions)
 {
   aProcesses.StartAll();
   PutQueue(aProcesses);
@@ -104,23 +104,22 @@
   aProcesses.Kill(aProcesses.LeaderName());
   Submit(aProcesses, 0);
   std::string shown;
-  const auto isGivenUp = [&]() {
+  const auto hasFailed = [&]() {
     shown = aProcesses.Cli({ "job", "show", "reviews", "bad" }).m_text;
     return shown.find("failed") != std::string::npos;
   };
-  CHECK(aProcesses.Until(isGivenUp, 2 * kLimit));
+  CHECK(aProcesses.Until(hasFailed, 2 * kLimit));
   CHECK(shown.find("step 0 task 0") != std::string::npos);
   CHECK(shown.find("crashed") != std::string::npos);
-  CHECK(starts() <= kMostStartsOfCrashingTask);
+  CHECK(starts() <= kMaxStartsOfCrashingTask);
   CHECK(aProcesses.Until([&]() { return IsCompleted(aProcesses, 0); }, kLimit));
 }
 }
 ;
 
-// Callers hand in jobs while the leading replica is killed. Each job that was
-// accepted is completed, and no task starts twice: the next leader finds the
-// runs in its log, and the workers, whose leases last longer than an election,
-// go on with what they run.
+// Guards against lost jobs and tasks that start twice when the leader is killed
+// while callers submit jobs. The next leader finds the runs in its log, and the
+// workers' leases last longer than an election, so that their runs continue.
 TEST(Jobs, LeaderKilledUnderJobs_AllCompleteAndNoTaskRunsTwice)
 {
   Processes processes(23000);
@@ -138,8 +137,9 @@
   CheckNoTaskTwice(processes);
 }
 
-// Every replica is killed at once, right after jobs were accepted and before a
-// worker is there. What was acknowledged is in the logs; it runs afterwards.
+// Guards against the loss of acknowledged jobs when all replicas are killed at
+// once, right after the jobs were accepted and before a worker has registered.
+// The jobs are in the logs and must run afterwards.
 TEST(Jobs, AllReplicasKilledAfterAcceptance_JobsAreDoneAfterwards)
 {
   Processes processes(23100);
@@ -159,8 +159,8 @@
   CheckNoTaskTwice(processes);
 }
 
-// A worker is killed with tasks on it. Its lease must end before anyone else
-// starts them; then another worker does, and the jobs complete.
+// Guards against jobs that never complete because their worker was killed.
+// When its lease has ended, another worker must start its tasks.
 TEST(Jobs, WorkerKilled_ItsTasksGoElsewhere)
 {
   Processes processes(23200);
@@ -175,8 +175,8 @@
   CHECK(processes.Until([&]() { return IsCompleted(processes, 0); }, kLimit));
 }
 
-// Guards against ends that are acknowledged and not believed, and against a
-// worker that gets no work any more, where it starts again under its id.
+// Guards against ends that are acknowledged but not recorded, and against a
+// worker that gets no more work, when a worker restarts under the same id.
 TEST(Jobs, WorkerStartsAgainUnderItsId_AllCompleteAndNothingDoneRunsAgain)
 {
   Processes processes(23900);
@@ -196,25 +196,25 @@
   LONGS_EQUAL(0, processes.CountRestartsAfterDone(1));
 }
 
-// One job's task crashes each worker that starts it, and the leader is killed
-// in between. The caller is told that the job has failed and why, the workers
-// are left alone from then on, and a job that waits beside it completes.
+// Guards against a task that crashes each worker that starts it, across a
+// change of leader. The job must fail with a reason that the caller sees and
+// crash no more workers, and another waiting job must complete.
 TEST(Jobs, TaskCrashesItsWorkers_JobIsGivenUpWithReason)
 {
   Processes processes(23800);
-  CheckCrashingJobIsGivenUp(processes,
-                            { "--crash-payload", "bad", "--new-ids" });
+  CheckCrashingJobFails(processes, { "--crash-payload", "bad", "--new-ids" });
 }
 
 TEST(Jobs, TaskCrashesWorkersThatKeepTheirIds_JobIsGivenUpWithReason)
 {
   Processes processes(24000);
-  CheckCrashingJobIsGivenUp(processes, { "--crash-payload", "bad" });
+  CheckCrashingJobFails(processes, { "--crash-payload", "bad" });
 }
 
-// Nobody initialises the group: three replicas start on empty disks with the
-// same seeds and are one group of three. All are restarted, told no more that
-// it is the first start, and are the same group with the same state.
+// Guards against several groups, or none, when three replicas start on empty
+// disks with the same seeds and no operator initialises the group. Restarted
+// without the setting for the first start, they must be one group of three with
+// the same state.
 TEST(Jobs, SeededReplicasOnEmptyDisks_FormOneGroupAndStayIt)
 {
   Processes processes(23300);
@@ -224,8 +224,8 @@
   const auto voters = [&]() {
     std::size_t count = 0;
     const Json status = processes.Status();
-    for (const Json& one : status.value("replicas", Json::array())) {
-      count += one.at("voter").get<bool>() ? 1 : 0;
+    for (const Json& replica : status.value("replicas", Json::array())) {
+      count += replica.at("voter").get<bool>() ? 1 : 0;
     }
     return count;
   };
@@ -242,8 +242,9 @@
         std::string::npos);
 }
 
-// The disk of one replica is lost. It comes back empty, must not found a group
-// of its own, and is admitted to the old one in place of its earlier life.
+// Guards against a replica that forms a group of its own after it lost its
+// disk. It must be admitted to the old group in place of its earlier
+// incarnation.
 TEST(Jobs, SeededReplicaWithEmptiedDisk_IsAdmittedAgain)
 {
   Processes processes(23400);
@@ -258,8 +259,9 @@
     std::size_t synced = 0;
     const Json status = processes.Status();
     const Json replicas = status.value("replicas", Json::array());
-    for (const Json& one : replicas) {
-      synced += one.at("voter").get<bool>() && one.at("behind") == 0 ? 1 : 0;
+    for (const Json& replica : replicas) {
+      synced +=
+        replica.at("voter").get<bool>() && replica.at("behind") == 0 ? 1 : 0;
     }
     return synced == 3 && replicas.size() == 3;
   };
@@ -268,10 +270,10 @@
         std::string::npos);
 }
 
-// One of three instances that serve control has no disk; it is the lowest seed.
-// The others form the group without it, and an entry that knows nobody else is
-// told by it who leads: its caller's job is accepted. Without that, the process
-// ended at each start and no group was ever formed.
+// Guards against a group that is never formed because the lowest of three seeds
+// has no disk and exits at each start. The two others must form the group, and
+// the seed must name the leader to an entry that knows only this seed, so that
+// the entry accepts a job.
 TEST(Jobs, SeedWithoutDisk_OthersFormTheGroupAndItNamesTheLeader)
 {
   Processes processes(23600);
@@ -293,9 +295,10 @@
   CHECK(processes.Until(isAccepted, kLimit));
 }
 
-// No replica can be reached: the caller's job was handed to nobody, so the
-// refusal says so, with when to come back, and the caller may send it again.
-// Told that its fate is not known, it would have to ask for the job first.
+// Guards against an unknown outcome for a job that was sent to no replica,
+// because none can be reached. The entry must reject it with a Retry-After, so
+// that the caller may resend it. With an unknown outcome, the caller would have
+// to query the job first.
 TEST(Jobs, NoReplicaReachable_JobIsRefusedNotUnclear)
 {
   Processes processes(23700);
@@ -315,7 +318,8 @@
   CHECK(http::FindHeader(answer.m_headers, "Retry-After").has_value());
 }
 
-// What is wrong with a job or a table is named, and nothing changes.
+// Guards against invalid jobs and queue tables that are accepted or rejected
+// without the name of the field. Nothing must change.
 TEST(Jobs, BadInput_NamesTheField)
 {
   Processes processes(23500);
--- a/tests/failure/maintenance_test.cpp
+++ b/tests/failure/maintenance_test.cpp
@@ -31,7 +31,7 @@
   const std::string body =
     R"({"wave":)" + std::to_string(aWave) +
     R"(,"machines":["k1","k2","k3","k4","k5","k6"],"within_s":60,"cap":2})";
-  const auto isTaken = [&]() {
+  const auto isAccepted = [&]() {
     return aProcesses
              .Http(aProcesses.ControlFrontHttp(),
                    "POST",
@@ -40,7 +40,7 @@
                    body)
              .m_response.m_status == 200;
   };
-  return aProcesses.Until(isTaken, kLimit);
+  return aProcesses.Until(isAccepted, kLimit);
 }
 
 static bool
@@ -53,15 +53,16 @@
   return answer.m_response.m_body.find("completed") != std::string::npos;
 }
 
-/** Most instances that were down at once, as the platform saw it. */
+/** Returns the maximum number of instances that the platform had down at once.
+ */
 static int
-MostDown(const Processes& aProcesses)
+MaxDown(const Processes& aProcesses)
 {
-  int most = 0;
+  int max = 0;
   for (const std::string& line : aProcesses.PlatformLines("down")) {
-    most = std::max(most, std::stoi(line.substr(line.rfind(' ') + 1)));
+    max = std::max(max, std::stoi(line.substr(line.rfind(' ') + 1)));
   }
-  return most;
+  return max;
 }
 
 static void
@@ -70,13 +71,14 @@
   CHECK(
     aProcesses.Until([&]() { return IsCompleted(aProcesses, aWave); }, kLimit));
   LONGS_EQUAL(kWorkers * aWave, aProcesses.PlatformLines("down").size());
-  CHECK(MostDown(aProcesses) <= kCap);
+  CHECK(MaxDown(aProcesses) <= kCap);
 }
 }
 ;
 
-// Guards against an order that was obeyed unheard, and is sent again by the
-// HTTP library: its answer, busy, would be taken for a refusal.
+// Guards against an order that the HTTP library resends after the platform has
+// executed it but its answer was lost. The second answer, busy, would be taken
+// for a refusal.
 TEST(Maintenance, KeptConnectionsDieAfterOrder_CapIsKept)
 {
   Processes processes(24100);
@@ -85,7 +87,8 @@
   CheckWave(processes, 1);
 }
 
-// Guards against instances that count as back because time has passed.
+// Guards against instances that are counted as up again only because time has
+// passed, while they come back later.
 TEST(Maintenance, InstancesComeBackLate_CapIsKept)
 {
   Processes processes(24200);
@@ -94,8 +97,8 @@
   CheckWave(processes, 1);
 }
 
-// Guards against unclear orders and what is left of an earlier wave, across a
-// change of leader.
+// Guards against exceeding the cap because of orders with lost answers, or
+// orders left from an earlier wave, across a change of leader.
 TEST(Maintenance, OrdersObeyedUnheardAndLeaderKilledInTwoWaves_CapIsKept)
 {
   Processes processes(24300);
--- a/tests/failure/requests_test.cpp
+++ b/tests/failure/requests_test.cpp
@@ -41,9 +41,9 @@
 }
 ;
 
-// Control leader killed, an entry killed, a control replica frozen and woken,
-// while callers send on and ask again elsewhere. Nobody is told something
-// untrue, nothing runs twice, and every caller gets a word.
+// Guards against false outcomes, requests that run twice and callers without an
+// answer, when the control leader and an entry are killed and a control replica
+// is frozen and resumed while callers send requests and retry elsewhere.
 TEST(Requests, KillsAndFreezes_UnderTraffic_AnswersStayTrue)
 {
   Processes processes(21000);
@@ -68,9 +68,9 @@
   CheckTruthful(processes.Call({ "--count", "200", "--prefix", "after" }));
 }
 
-// The first copy hangs at the upstream; the caller asks another entry under
-// the same id. The second copy must not run; it waits for the first and, at
-// its deadline, is told "unknown".
+// Guards against a second run when the first copy hangs at the upstream and the
+// caller sends a second one with the same id to another entry. The second copy
+// must wait for the first and end as "unknown" at its deadline.
 TEST(Requests, SecondCopy_WhileFirstRuns_IsNotDispatched)
 {
   Processes processes(21100);
@@ -102,9 +102,9 @@
   LONGS_EQUAL(1, runs);
 }
 
-// The entry that holds the request is killed while it runs. A copy sent to
-// another entry is told "unknown" at once, when the holder's lease is over;
-// it is never run again.
+// Guards against a second run when the entry that holds a running request is
+// killed. A copy at another entry must end as "unknown" as soon as the holder's
+// lease has ended.
 TEST(Requests, HolderKilled_CopyElsewhere_IsToldUnknownAndNotRunAgain)
 {
   Processes processes(21200);
@@ -163,8 +163,8 @@
   LONGS_EQUAL(422, other.m_response.m_status);
 }
 
-// The whole control group is gone. Entries lose their leases; what they cannot
-// prove they do not say, and when the group is back they serve again.
+// Guards against outcomes that entries can't prove when the whole control group
+// is down and their leases end. They must serve again once the group is back.
 TEST(Requests, ControlGroupGone_EntriesRefuseTruthfullyAndComeBack)
 {
   Processes processes(21400);
@@ -197,8 +197,8 @@
   CheckTruthful(processes.Call({ "--count", "50", "--prefix", "after" }));
 }
 
-// An entry is asked to stop while requests run. They all get their answers,
-// and the process ends by itself with code 0.
+// Guards against requests that are cut off when an entry is asked to stop. All
+// of them must be answered, and the process must exit by itself with code 0.
 TEST(Requests, EntryStoppedByPlan_UnderTraffic_CutsOffNothing)
 {
   Processes processes(21500);
@@ -209,10 +209,10 @@
   CHECK(processes.Until(
     [&]() { return processes.Status().at("instances").size() == 3; }, kLimit));
   std::vector<std::thread> callers;
-  std::vector<std::optional<std::string>> told(12);
-  for (std::size_t i = 0; i < told.size(); ++i) {
+  std::vector<std::optional<std::string>> outcomes(12);
+  for (std::size_t i = 0; i < outcomes.size(); ++i) {
     callers.emplace_back([&, i]() {
-      told[i] = OutcomeOf(processes.Http(
+      outcomes[i] = OutcomeOf(processes.Http(
         processes.EntryHttp(1), i % 2 == 0 ? "GET" : "POST", "/desk/x"));
     });
   }
@@ -221,14 +221,14 @@
   for (std::thread& caller : callers) {
     caller.join();
   }
-  for (const auto& one : told) {
-    CHECK(one == "done");
+  for (const auto& outcome : outcomes) {
+    CHECK(outcome == "done");
   }
   LONGS_EQUAL(0, processes.Wait("e1"));
 }
 
-// An operator has no patience and asks a second time while a request hangs.
-// The entry ends at once, and its log says how much it abandoned.
+// Guards against an entry that doesn't exit on a second stop signal while a
+// request hangs. It must exit at once and log how many requests it abandons.
 TEST(Requests, EntryStoppedTwice_RequestHanging_EndsAndNamesWhatItAbandons)
 {
   Processes processes(21900);
@@ -250,8 +250,8 @@
   CHECK(text.find("\"abandonedRequests\":1") != std::string::npos);
 }
 
-// The control group is gone when an entry is asked to stop. There is nobody to
-// say goodbye to; its lease runs out by itself, and it ends all the same.
+// Guards against an entry that never exits because the control group is down
+// and it can't deregister. Its lease expires by itself.
 TEST(Requests, EntryStoppedByPlan_ControlGroupGone_EndsAllTheSame)
 {
   Processes processes(21800);
@@ -264,8 +264,8 @@
                         kLimit));
 }
 
-// An upstream says that it leaves. After 2 s no entry sends it anything, not
-// even one that was frozen when it said so.
+// Guards against requests to an upstream more than 2 s after it announced that
+// it leaves, also from an entry that was frozen at that time.
 TEST(Requests, UpstreamLeaving_EntryFrozenMeanwhile_GetsNoNewWork)
 {
   Processes processes(21600);
@@ -281,8 +281,9 @@
   LONGS_EQUAL(before, processes.TotalAt(1));
 }
 
-// Slow, half-sent, over-long and malformed input, and hostile lengths: each
-// gets a clear status or a closed connection, and others are served on.
+// Guards against slow, half-sent, too long or malformed input and hostile
+// lengths that disturb other requests. Each must get a clear status or a closed
+// connection.
 TEST(Requests, BadInput_AnyKind_ClearStatusAndOthersAreServed)
 {
   Processes processes(21700);
