--- a/tests/differential/consensus_history_test.cpp
+++ b/tests/differential/consensus_history_test.cpp
@@ -8,48 +8,48 @@
 
 namespace {
 
-/** One random misfortune. */
+/** Injects one random fault or ends some. */
 void
-Disturb(Replicas& aReplicas, std::size_t aMostDown)
+InjectFault(Replicas& aReplicas, std::size_t aMaxDown)
 {
   auto& random = aReplicas.Random();
-  const std::size_t at = random() % aReplicas.Size();
+  const std::size_t node = random() % aReplicas.Size();
   std::size_t down = 0;
   for (std::size_t i = 0; i < aReplicas.Size(); ++i) {
     down += aReplicas.IsUp(i) ? 0 : 1;
   }
   switch (random() % 10) {
     case 0:
-      if (aReplicas.IsUp(at) && down < aMostDown) {
-        aReplicas.Crash(at);
+      if (aReplicas.IsUp(node) && down < aMaxDown) {
+        aReplicas.Crash(node);
       }
       break;
     case 1:
     case 2:
-      if (!aReplicas.IsUp(at)) {
-        aReplicas.Start(at);
+      if (!aReplicas.IsUp(node)) {
+        aReplicas.Start(node);
       }
       break;
     case 3:
-      aReplicas.Isolate(at, random() % 2 == 0);
+      aReplicas.Isolate(node, random() % 2 == 0);
       break;
     case 4:
-      aReplicas.Cut(at, random() % aReplicas.Size(), random() % 2 == 0);
+      aReplicas.Cut(node, random() % aReplicas.Size(), random() % 2 == 0);
       break;
     case 5:
-      if (aReplicas.IsUp(at)) {
-        aReplicas.Freeze(at, random() % 2 == 0);
+      if (aReplicas.IsUp(node)) {
+        aReplicas.Freeze(node, random() % 2 == 0);
       }
       break;
     case 6:
-      if (aReplicas.IsUp(at)) {
-        aReplicas.At(at).Compact(aReplicas.AppliedBy(at),
-                                 aReplicas.StateOf(at));
-        aReplicas.Drain(at);
+      if (aReplicas.IsUp(node)) {
+        aReplicas.At(node).Compact(aReplicas.AppliedBy(node),
+                                   aReplicas.StateOf(node));
+        aReplicas.Drain(node);
       }
       break;
     case 7:
-      // Everything at once, as when the power fails.
+      // All replicas crash at once, as in a power failure.
       for (std::size_t i = 0; i < aReplicas.Size(); ++i) {
         aReplicas.Crash(i);
       }
@@ -58,8 +58,8 @@
       }
       break;
     case 8:
-      // The leader, in the middle of what it was just told.
-      if (const auto leader = aReplicas.Leader(); leader && down < aMostDown) {
+      // The leader crashes right after a proposal.
+      if (const auto leader = aReplicas.Leader(); leader && down < aMaxDown) {
         aReplicas.Propose("late");
         aReplicas.Crash(*leader);
       }
@@ -72,9 +72,10 @@
   }
 }
 
-/** Mends everything and checks that the group works and agrees. */
+/** Ends all faults and checks that the group commits and that all replicas
+ * agree. */
 void
-Heal(Replicas& aReplicas, const Faults& aCalm)
+Heal(Replicas& aReplicas, const Faults& aNoFaults)
 {
   for (std::size_t i = 0; i < aReplicas.Size(); ++i) {
     aReplicas.Isolate(i, false);
@@ -84,13 +85,13 @@
     }
     aReplicas.Freeze(i, false);
   }
-  aReplicas.SetFaults(aCalm);
+  aReplicas.SetFaults(aNoFaults);
   const std::size_t before = aReplicas.Acknowledged().size();
-  const auto works = [&]() {
+  const auto commits = [&]() {
     aReplicas.Propose("last");
     return aReplicas.Acknowledged().size() > before;
   };
-  CHECK(aReplicas.RunUntil(works, std::chrono::seconds{ 60 }));
+  CHECK(aReplicas.RunUntil(commits, std::chrono::seconds{ 60 }));
   aReplicas.Run(std::chrono::seconds{ 10 });
   for (std::size_t i = 0; i < aReplicas.Size(); ++i) {
     LONGS_EQUAL(aReplicas.AppliedBy(*aReplicas.Leader()).Get(),
@@ -102,11 +103,11 @@
 
 TEST_GROUP(ConsensusHistory){};
 
-// Messages are lost, doubled, delayed past each other; replicas crash between
-// write and sync, freeze, and are cut off in one direction or both; snapshots
-// are taken at any point. Whatever any replica applies is compared with the
-// one sequence of the naive one-copy machine, and no replica that holds its
-// lease may be behind an acknowledged command.
+// Guards against replicas whose entries differ from the one sequence of the
+// naive one-copy machine, and against a replica that holds its lease but lags
+// behind an acknowledged command. Messages are lost, duplicated and reordered;
+// replicas crash between write and sync, freeze, and are cut off in one
+// direction or both; snapshots are taken at any point.
 TEST(ConsensusHistory, RandomFaults_AnySeed_EqualsOneCopyMachine)
 {
   for (std::uint64_t seed = 1; seed <= 400; ++seed) {
@@ -115,23 +116,23 @@
     faults.m_duplicate = 0.05;
     faults.m_maxDelay = Millis{ 5 + 20 * (seed % 4) };
     faults.m_maxSync = Millis{ 1 + 15 * (seed % 3) };
-    // One set of timeouts for all: a leader's lease rests on what the voters
-    // wait.
+    // All replicas have the same timeouts: a leader's lease relies on the
+    // election timeouts of the voters.
     faults.m_options.m_heartbeat = Millis{ 15 };
     faults.m_options.m_electionMin = Millis{ 90 };
     faults.m_options.m_electionSpread = Millis{ 90 };
-    Faults calm;
-    calm.m_options = faults.m_options;
-    Replicas replicas(seed % 2 == 0 ? 3 : 5, seed, calm);
+    Faults noFaults;
+    noFaults.m_options = faults.m_options;
+    Replicas replicas(seed % 2 == 0 ? 3 : 5, seed, noFaults);
     CHECK(replicas.Form());
     replicas.SetFaults(faults);
-    const std::size_t mostDown = replicas.Size() / 2;
+    const std::size_t maxDown = replicas.Size() / 2;
     for (int round = 0; round < 100; ++round) {
       replicas.Propose("c" + std::to_string(round));
-      Disturb(replicas, mostDown);
+      InjectFault(replicas, maxDown);
       replicas.Run(Millis{ 10 + replicas.Random()() % 250 });
     }
-    Heal(replicas, calm);
+    Heal(replicas, noFaults);
     if (!replicas.Violation().empty()) {
       FAIL(
         ("seed " + std::to_string(seed) + ": " + replicas.Violation()).c_str());
--- a/tests/differential/request_truth_test.cpp
+++ b/tests/differential/request_truth_test.cpp
@@ -11,21 +11,21 @@
 constexpr std::size_t kEntryCount = 4;
 
 void
-Disturb(Entries& aEntries)
+InjectFault(Entries& aEntries)
 {
   auto& random = aEntries.Random();
-  const std::size_t at = random() % kEntryCount;
+  const std::size_t entry = random() % kEntryCount;
   switch (random() % 8) {
     case 0:
-      aEntries.Restart(at);
+      aEntries.Restart(entry);
       break;
     case 1:
     case 2:
-      aEntries.Freeze(at, random() % 2 == 0);
+      aEntries.Freeze(entry, random() % 2 == 0);
       break;
     case 3:
     case 4:
-      aEntries.CutControl(at, random() % 2 == 0);
+      aEntries.CutControl(entry, random() % 2 == 0);
       break;
     default:
       for (std::size_t i = 0; i < kEntryCount; ++i) {
@@ -36,7 +36,8 @@
   }
 }
 
-/** A caller that asks again elsewhere, also while its first copy runs. */
+/** Sends copies of one request to several entries, also while the first copy
+ * runs. */
 void
 SendCopies(Entries& aEntries, int aNumber)
 {
@@ -51,20 +52,21 @@
   }
 }
 
-/** Every attempt that was told "not run" is asked for once more under the
- * next number, while late copies of the old number still come in. */
+/** Sends every request that was reported as "not run" once more under the next
+ * attempt number, while late copies of the old number still arrive. */
 void
 SendNextAttempts(Entries& aEntries)
 {
   const auto statements = aEntries.Statements();
-  std::set<RequestId> asked;
-  for (const auto& said : statements) {
-    const bool again = said.m_state == outcome::State::kNotRun &&
-                       !said.m_mayRepeat && asked.insert(said.m_request).second;
-    if (again) {
+  std::set<RequestId> repeated;
+  for (const auto& statement : statements) {
+    const bool isRepeatable = statement.m_state == outcome::State::kNotRun &&
+                              !statement.m_mayRepeat &&
+                              repeated.insert(statement.m_request).second;
+    if (isRepeatable) {
       auto& random = aEntries.Random();
-      aEntries.Arrive(random() % kEntryCount, said.m_request, false, 2);
-      aEntries.Arrive(random() % kEntryCount, said.m_request, false, 1);
+      aEntries.Arrive(random() % kEntryCount, statement.m_request, false, 2);
+      aEntries.Arrive(random() % kEntryCount, statement.m_request, false, 1);
       aEntries.Run(Millis{ random() % 10 });
     }
   }
@@ -74,10 +76,10 @@
 
 TEST_GROUP(RequestTruth){};
 
-// Callers send copies of a request to several entries; entries are restarted,
-// frozen and woken, or cut off from control; upstreams refuse, cut answers
-// short, or prove that they did not run. Each statement to a caller is held
-// against what the upstreams counted.
+// Guards against answers to callers that contradict the runs that the upstreams
+// counted. Callers send copies of a request to several entries; entries are
+// restarted, frozen and resumed, or cut off from control; upstreams refuse, cut
+// answers short, or prove that they did not run a request.
 TEST(RequestTruth, RandomFaults_AnySeed_StatementsAgreeWithRuns)
 {
   std::size_t done = 0;
@@ -93,7 +95,7 @@
     for (int i = 0; i < 80; ++i) {
       SendCopies(entries, i);
       if (i % 5 == 4) {
-        Disturb(entries);
+        InjectFault(entries);
       }
     }
     SendNextAttempts(entries);
@@ -107,17 +109,17 @@
              .c_str());
     }
     LONGS_EQUAL(0, entries.OpenCopies());
-    for (const auto& said : entries.Statements()) {
+    for (const auto& statement : entries.Statements()) {
       ++all;
-      done += said.m_state == outcome::State::kDone ? 1 : 0;
+      done += statement.m_state == outcome::State::kDone ? 1 : 0;
     }
   }
-  // The truth must not come from refusing everything.
+  // Entries that refuse every request must not pass.
   CHECK(done * 100 > all * 50);
 }
 
-// Every entry obeys a cordon within 2 s, also one that was frozen or cut off
-// when it came.
+// Guards against requests to a cordoned upstream more than 2 s after the
+// cordon, also from entries that were frozen or cut off when it was set.
 TEST(RequestTruth, UpstreamTakenOut_EntriesFrozenOrCut_NoNewWorkAfterTwoSeconds)
 {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
@@ -130,14 +132,16 @@
         entries.SetCordon(entries.Random()() % 6, true);
       }
       if (i % 30 == 29) {
-        for (std::size_t at = 0; at < kEntryCount; ++at) {
-          entries.Freeze(at, false);
-          entries.CutControl(at, false);
+        for (std::size_t entry = 0; entry < kEntryCount; ++entry) {
+          entries.Freeze(entry, false);
+          entries.CutControl(entry, false);
         }
       }
-      for (std::size_t at = 0; at < kEntryCount; ++at) {
+      for (std::size_t entry = 0; entry < kEntryCount; ++entry) {
         entries.Arrive(
-          at, RequestId{ std::to_string(i) + "." + std::to_string(at) }, true);
+          entry,
+          RequestId{ std::to_string(i) + "." + std::to_string(entry) },
+          true);
       }
       entries.Run(Millis{ 100 + entries.Random()() % 100 });
     }
--- a/tests/unit/support/threads_test.cpp
+++ b/tests/unit/support/threads_test.cpp
@@ -6,11 +6,10 @@
 
 TEST_GROUP(TestProgram){};
 
-// Whoever runs the process tests sees one run in eight crash, or hang, or
-// report a leak. CppUTest replaces new and delete by versions that keep a list
-// of allocations without a lock; the HTTP client's thread and the callers'
-// threads change that list at the same time. Here eight threads do nothing
-// else.
+// Guards against the unlocked list of allocations that CppUTest's versions of
+// new and delete keep. The HTTP client's thread and the callers' threads
+// changed it at the same time, and one in eight runs of the process tests
+// crashed, hung or reported a leak. Here, eight threads only allocate and free.
 TEST(TestProgram, ManyThreadsAllocate_NothingBreaks)
 {
   constexpr int kThreads = 8;
