--- a/benchmark/decisions.cpp
+++ b/benchmark/decisions.cpp
@@ -55,7 +55,8 @@
       running.push_back(choice->m_instance);
     }
     if (running.size() > 16) {
-      router.Finish(running[i % 16], routing::Verdict::kGood, Millis{ 5 }, now);
+      router.Finish(
+        running[i % 16], routing::Verdict::kSuccess, Millis{ 5 }, now);
       running[i % 16] = running.back();
       running.pop_back();
     }
@@ -96,7 +97,7 @@
     request::AttemptResult result;
     result.m_end = request::AttemptEnd::kAnswered;
     result.m_status = 200;
-    result.m_took = Millis{ 5 };
+    result.m_elapsed = Millis{ 5 };
     engine.OnAttempt(local, 1, result, now);
     engine.TakeActions();
   }
--- a/benchmark/jobs.cpp
+++ b/benchmark/jobs.cpp
@@ -30,7 +30,7 @@
 {
   jobs::StepSpec step;
   step.m_count = kTasksPerJob;
-  step.m_needs = { 1000, 1000, 0 };
+  step.m_resources = { 1000, 1000, 0 };
   step.m_estimate = Millis{ 1000 };
   return { std::string(1000, 'x'), { step }, 0, WallTime{}, Millis{} };
 }
@@ -142,7 +142,7 @@
 
   placement::Plan ComputePlan()
   {
-    return m_planner.Next(m_state, m_table, {}, kNow, WallTime{ 1 });
+    return m_planner.ComputePlan(m_state, m_table, {}, kNow, WallTime{ 1 });
   }
 
   std::size_t m_workers;
--- a/benchmark/slot_sharing.cpp
+++ b/benchmark/slot_sharing.cpp
@@ -160,9 +160,11 @@
                                     request.m_arrived + kDeadline,
                                     aRequest };
     if (m_strategy.m_admission) {
-      const admission::Service serviceLoad = ServiceLoadOf(QueueOf(aRequest));
+      const admission::ServiceLoad serviceLoad =
+        ServiceLoadOf(QueueOf(aRequest));
       const Duration wait = queue.EstimateWait(ticket, serviceLoad);
-      if (m_now + wait + serviceLoad.m_usualTime > ticket.m_deadline) {
+      if (m_now + wait + serviceLoad.m_maxUsualServiceTime >
+          ticket.m_deadline) {
         return;
       }
     }
@@ -170,7 +172,7 @@
     Dispatch(QueueOf(aRequest));
   }
 
-  admission::Service ServiceLoadOf(std::size_t aQueue)
+  admission::ServiceLoad ServiceLoadOf(std::size_t aQueue)
   {
     if (m_strategy.m_ideal) {
       std::uint32_t running = 0;
@@ -185,15 +187,15 @@
     routing::Router& router = m_routers[aQueue];
     return { router.Capacity(m_now),
              router.InFlight(),
-             router.MeanTime(),
-             router.UsualTime() };
+             router.MeanServiceTime(),
+             router.MaxUsualServiceTime() };
   }
 
   void Dispatch(std::size_t aQueue)
   {
     admission::Queue& queue = m_waiting[aQueue];
     if (m_strategy.m_admission) {
-      queue.TakeLate(ServiceLoadOf(aQueue).m_usualTime, m_now);
+      queue.TakeExpired(ServiceLoadOf(aQueue).m_maxUsualServiceTime, m_now);
     }
     while (const auto ticket = queue.Pop()) {
       const auto target = Choose(aQueue);
@@ -252,7 +254,7 @@
     if (!m_strategy.m_ideal) {
       m_routers[request.m_entry].Finish(
         InstanceId{ "w" + std::to_string(aUpstream) },
-        routing::Verdict::kGood,
+        routing::Verdict::kSuccess,
         m_now - request.m_sent,
         m_now);
     }
--- a/benchmark/state.cpp
+++ b/benchmark/state.cpp
@@ -84,7 +84,7 @@
       m_path, InstanceId{ "c" }, m_opened, failure);
   }
 
-  storage::Opened m_opened;
+  storage::OpenResult m_opened;
 
 private:
   fs::path m_path;
--- a/fakes/caller.cpp
+++ b/fakes/caller.cpp
@@ -84,7 +84,7 @@
   call.m_timeout = Millis{ aOptions.m_timeoutMs + 5000 };
   // A retry inside the HTTP client would hide how the entry handles a repeated
   // request.
-  call.m_onlyOnce = !aOptions.m_direct && post;
+  call.m_atMostOnce = !aOptions.m_direct && post;
   return call;
 }
 
--- a/fakes/upstream.cpp
+++ b/fakes/upstream.cpp
@@ -207,7 +207,7 @@
     call.m_target = "/v1/upstreams/" + m_options.m_id;
     call.m_body = std::make_shared<const std::string>(announcement.dump());
     call.m_timeout = Millis{ 4000 };
-    call.m_onlyOnce = false;
+    call.m_atMostOnce = false;
     m_client.Start(std::move(call), [](const http::CallResult&) {});
   }
 
--- a/fakes/worker.cpp
+++ b/fakes/worker.cpp
@@ -224,7 +224,7 @@
     call.m_target = "/v1/workers/" + Id() + aAction;
     call.m_body = std::make_shared<const std::string>(aBody.dump());
     call.m_timeout = std::chrono::seconds{ 1 };
-    call.m_onlyOnce = false;
+    call.m_atMostOnce = false;
     std::promise<http::CallResult> done;
     m_client.Start(std::move(call), [&](http::CallResult aResult) {
       done.set_value(std::move(aResult));
--- a/include/bamboostile/admission/queue.h
+++ b/include/bamboostile/admission/queue.h
@@ -32,15 +32,15 @@
 };
 
 /** Capacity, load and service times of the service behind a queue. */
-struct Service
+struct ServiceLoad
 {
   /** Maximum number of concurrent attempts. */
   std::uint32_t m_capacity = 0;
   /** Attempts in flight. */
   std::uint32_t m_inFlight = 0;
-  Duration m_meanTime{};
+  Duration m_meanServiceTime{};
   /** Upper bound of the time that most requests take. */
-  Duration m_usualTime{};
+  Duration m_maxUsualServiceTime{};
 };
 
 /**
@@ -58,11 +58,12 @@
   bool IsEmpty() const { return Size() == 0; }
 
   /** Estimates how long a new request would wait. */
-  Duration EstimateWait(const Ticket& aTicket, const Service& aService) const;
+  Duration EstimateWait(const Ticket& aTicket,
+                        const ServiceLoad& aService) const;
 
   /** Removes and returns the requests that would miss their deadline even if
    * they were started now. */
-  std::vector<Ticket> TakeLate(Duration aMinimalTime, TimePoint aNow);
+  std::vector<Ticket> TakeExpired(Duration aMinimalTime, TimePoint aNow);
 
 private:
   std::array<std::set<Ticket>, kClassCount> m_classes;
--- a/include/bamboostile/consensus/membership_policy.h
+++ b/include/bamboostile/consensus/membership_policy.h
@@ -10,9 +10,9 @@
 {
   /** Target number of voters: two for each replica loss that the group must
    * survive, plus one. */
-  std::size_t m_voters = 3;
+  std::size_t m_targetVoters = 3;
   /** Minimum number of voters of a formed group: the number of seeds. */
-  std::size_t m_leastVoters = 3;
+  std::size_t m_minVoters = 3;
   /** A voter that sends no message for this long is replaced by a learner. Must
    * be longer than a restart takes. */
   Duration m_replaceUnresponsiveAfter = Millis{ 6000 };
@@ -37,17 +37,14 @@
   /** Called when this replica becomes leader: message times of earlier terms no
    * longer apply. */
   void Reset() { m_lastMessageAt.clear(); }
-  void OnHeard(const ReplicaId& aFrom, TimePoint aNow)
+  void OnMessage(const ReplicaId& aFrom, TimePoint aNow)
   {
     m_lastMessageAt[aFrom] = aNow;
   }
 
   /** Called while the group forms, once it is known that some seeds keep no
    * log. */
-  void SetLeastVoters(std::size_t aVoters)
-  {
-    m_options.m_leastVoters = aVoters;
-  }
+  void SetMinVoters(std::size_t aVoters) { m_options.m_minVoters = aVoters; }
 
   bool IsFormed(const Membership& aMembership, TimePoint aNow);
 
--- a/include/bamboostile/consensus/replica.h
+++ b/include/bamboostile/consensus/replica.h
@@ -12,16 +12,16 @@
 {
   /** Three heartbeats fit into m_minElectionTimeout, so that one late heartbeat
    * does not end a term. */
-  Duration m_heartbeat = Millis{ 150 };
+  Duration m_heartbeatInterval = Millis{ 150 };
   /** No vote is granted and no election is started within this time after the
    * last contact with a leader (or after startup). Callers wait at least this
    * long when a leader is lost; with a much lower value, a leader that is busy
    * for a moment loses its term. */
-  Duration m_electionMin = Millis{ 500 };
+  Duration m_minElectionTimeout = Millis{ 500 };
   /** Range of the random part of the election timeout. It is large compared
    * with the network delay, so that two voters rarely start an election at the
    * same time. */
-  Duration m_electionSpread = Millis{ 400 };
+  Duration m_electionJitter = Millis{ 400 };
   /** Percentage by which a leader's lease is shorter than m_minElectionTimeout,
    * to allow for clocks that run at different rates. */
   int m_driftPercent = 10;
@@ -98,10 +98,10 @@
   Index SnapshotIndex() const { return m_snapshot.m_index; }
   const Membership& CurrentMembership() const;
   /** Leader only: the last index that aId is known to hold. */
-  Index MatchOf(const ReplicaId& aId) const;
+  Index MatchIndexOf(const ReplicaId& aId) const;
   /** Peers that hold less than they had acknowledged, because their folder was
    * replaced by an old copy. They are no longer counted. */
-  const std::set<ReplicaId>& Regressed() const { return m_regressed; }
+  const std::set<ReplicaId>& RegressedPeers() const { return m_regressed; }
 
 private:
   struct Progress
--- a/include/bamboostile/control/instance_service.h
+++ b/include/bamboostile/control/instance_service.h
@@ -22,15 +22,15 @@
     std::optional<Duration> m_sentAfter;
   };
 
-  using Answered = std::function<void(const Answer&)>;
+  using AnswerHandler = std::function<void(const Answer&)>;
   /** Receives std::nullopt if the list could not be read in full. */
-  using Listed =
+  using ListHandler =
     std::function<void(std::optional<std::vector<placement::ListedInstance>>)>;
 
-  std::function<void(const placement::MaintenanceOrder&, Term, Answered)>
+  std::function<void(const placement::MaintenanceOrder&, Term, AnswerHandler)>
     m_maintenance;
-  std::function<void(const placement::MoveOrder&, Term, Answered)> m_move;
-  std::function<void(Listed)> m_list;
+  std::function<void(const placement::MoveOrder&, Term, AnswerHandler)> m_move;
+  std::function<void(ListHandler)> m_list;
 };
 
 /**
@@ -43,7 +43,7 @@
 {
 public:
   using EndedHandler =
-    std::function<void(const WorkerLife&, TimePoint aOrderedAt)>;
+    std::function<void(const WorkerIncarnation&, TimePoint aOrderedAt)>;
 
   /** aOnEnded is called for each worker incarnation that an order has ended for
    * certain. */
@@ -63,12 +63,12 @@
   /** Sends no new orders unless aOrdersAllowed; instances with pending orders
    * stay cordoned. */
   void Tick(const placement::WorkerTable& aWorkers,
-            const placement::Durations& aDurations,
+            const placement::DurationEstimator& aDurations,
             bool aOrdersAllowed,
             TimePoint aNow,
             WallTime aWall);
   /** Workers that get no new tasks. */
-  const std::set<WorkerLife>& Cordoned() const { return m_cordoned; }
+  const std::set<WorkerIncarnation>& Cordoned() const { return m_cordoned; }
 
 private:
   struct MaintenanceReply
@@ -115,10 +115,10 @@
     bool aOrdersAllowed,
     TimePoint aNow);
   void PlanMoves(const placement::WorkerTable& aWorkers,
-                 const placement::Durations& aDurations,
+                 const placement::DurationEstimator& aDurations,
                  TimePoint aNow,
                  WallTime aWall);
-  void LogCapacity(const std::vector<placement::PoolNeed>& aPools,
+  void LogCapacity(const std::vector<placement::PoolCapacity>& aPools,
                    TimePoint aNow);
   void RequestList(const placement::MaintenancePlan& aMaintenance,
                    TimePoint aNow);
@@ -139,7 +139,7 @@
   placement::MaintenancePlanner m_maintenance;
   placement::CapacityPlanner m_capacity;
   placement::OrderRecord m_orderRecord;
-  std::set<WorkerLife> m_cordoned;
+  std::set<WorkerIncarnation> m_cordoned;
   std::set<std::pair<std::uint64_t, InstanceId>> m_pendingMaintenance;
   std::size_t m_pendingAdvances = 0;
   /** Number of moves whose answer has not been handled. */
--- a/include/bamboostile/control/job_service.h
+++ b/include/bamboostile/control/job_service.h
@@ -21,7 +21,7 @@
   std::string m_refusal;
 };
 
-enum class RoutesOutcome
+enum class ChangeOutcome
 {
   kInForce,
   kNotLeader,
@@ -34,16 +34,16 @@
 {
   kDone,
   kNotLeader,
-  kNothing,
+  kNoRoutes,
 };
 
-struct RoutesRead
+struct RoutesReadResult
 {
   ReadOutcome m_outcome = ReadOutcome::kNotLeader;
   std::string m_document;
 };
 
-enum class WaveView
+enum class WaveStatus
 {
   kRunning,
   kCompleted,
@@ -80,20 +80,20 @@
                                    TimePoint aReceivedAt);
   /** Ends a worker that shuts down: the given incarnation, or the only known
    * one if aWorker has no start time. */
-  kj::Promise<WorkerAnswer> Leave(const WorkerLife& aWorker);
-  kj::Promise<RoutesOutcome> ReplaceRoutes(fleet::RouteTable aTable);
-  RoutesRead ReadRoutes();
-  kj::Promise<RoutesOutcome> StartMaintenance(fleet::MaintenanceWave aWave);
-  WaveView LookAtMaintenance(std::uint64_t aWave);
+  kj::Promise<WorkerAnswer> Leave(const WorkerIncarnation& aWorker);
+  kj::Promise<ChangeOutcome> ReplaceRoutes(fleet::RouteTable aTable);
+  RoutesReadResult ReadRoutes();
+  kj::Promise<ChangeOutcome> StartMaintenance(fleet::MaintenanceWave aWave);
+  WaveStatus GetWaveStatus(std::uint64_t aWave);
   std::string LeaderAddress() const { return m_node.LeaderAddress(); }
-  StageLatencies& LeaderPace() { return m_latencies; }
+  StageLatencies& LeaderLatencies() { return m_latencies; }
   /** Returns the metrics in Prometheus text format. */
   std::string RenderMetrics();
 
 private:
   struct PendingReport
   {
-    WorkerLife m_worker;
+    WorkerIncarnation m_worker;
     std::uint64_t m_sequence = 0;
     TimePoint m_receivedAt;
     /** All ends in the report are in the current batch or an earlier one. */
@@ -110,9 +110,9 @@
   bool EnsureLeading();
   WorkerAnswer NotLeaderAnswer() const;
   void RecordRestart(const placement::WorkerReport& aReport,
-                     const placement::Heard& aResult);
+                     const placement::ReportResult& aResult);
   void RecordIgnored(const placement::WorkerReport& aReport,
-                     placement::Ignored aReason,
+                     placement::IgnoreReason aReason,
                      TimePoint aNow);
   void RecordSkippedEnds(const placement::WorkerReport& aReport,
                          std::size_t aCount);
@@ -144,8 +144,8 @@
                        TimePoint aNow);
   void RecordIfCrashLoop(const jobs::Job& aJob, const jobs::EndRun& aEnd);
   void StopStuckRuns(TimePoint aNow);
-  void OnIncarnationEnded(const WorkerLife& aWorker);
-  void OnOrderAccepted(const WorkerLife& aWorker, TimePoint aOrderedAt);
+  void OnIncarnationEnded(const WorkerIncarnation& aWorker);
+  void OnOrderAccepted(const WorkerIncarnation& aWorker, TimePoint aOrderedAt);
   kj::Promise<jobs::QueueReply> Submit(const fleet::QueueRoute& aRoute,
                                        const JobId& aJob,
                                        jobs::JobSpec aSpec);
@@ -177,12 +177,12 @@
 
   std::vector<PendingReport> m_pendingReports;
   /** Reports of steady workers, held until there is an order for the worker. */
-  std::unordered_map<WorkerLife, HeldReport> m_heldReports;
+  std::unordered_map<WorkerIncarnation, HeldReport> m_heldReports;
   StageLatencies m_latencies;
   placement::LoadShedder m_shedder;
-  placement::Shedding m_sheddingLevel = placement::Shedding::kNothing;
+  placement::SheddingLevel m_sheddingLevel = placement::SheddingLevel::kNone;
   /** Limited, as late reports are frequent while links are cut. */
-  telemetry::LogLimit m_ignoredLog{ Millis{ 200 } };
+  telemetry::LogRateLimiter m_ignoredLog{ Millis{ 200 } };
   telemetry::Metrics m_metrics;
   kj::TaskSet m_tasks;
 };
--- a/include/bamboostile/control/node.h
+++ b/include/bamboostile/control/node.h
@@ -34,7 +34,7 @@
   /** True if the whole system starts for the first time, on empty disks. */
   bool m_formGroup = false;
   /** Options for a group that forms from seeds. */
-  consensus::MembershipPolicyOptions m_group;
+  consensus::MembershipPolicyOptions m_membershipPolicy;
 };
 
 /** The result of a proposed command. */
@@ -56,7 +56,7 @@
 {
 public:
   Node(NodeOptions aOptions,
-       storage::Opened aOpened,
+       storage::OpenResult aOpened,
        std::unique_ptr<storage::LogStore> aStore,
        kj::AsyncIoProvider& aProvider,
        std::function<void(const storage::Failure&)> aOnDiskFailure);
--- a/include/bamboostile/control/worker_api.h
+++ b/include/bamboostile/control/worker_api.h
@@ -16,7 +16,7 @@
 public:
   explicit WorkerApi(JobService& aJobs)
     : m_jobs(aJobs)
-    , m_bridge(&aJobs.LeaderPace())
+    , m_bridge(&aJobs.LeaderLatencies())
   {
   }
 
--- a/include/bamboostile/entry/frontend.h
+++ b/include/bamboostile/entry/frontend.h
@@ -81,8 +81,8 @@
 
   void Tick();
   void ExecuteActions();
-  void Execute(request::AskBegin aAction);
-  void Execute(request::AskRecord aAction);
+  void Execute(request::BeginAttempt aAction);
+  void Execute(request::QueryRecord aAction);
   void Execute(const request::Dispatch& aDispatch);
   void Execute(const request::Relay& aRelay);
   void Execute(request::Resolve aResolve);
--- a/include/bamboostile/fleet/maintenance.h
+++ b/include/bamboostile/fleet/maintenance.h
@@ -31,7 +31,7 @@
   Millis m_within{};
   std::map<InstanceId, MaintenanceStep> m_instances;
 
-  std::size_t Down() const;
+  std::size_t DownCount() const;
   bool IsDone() const;
 };
 
--- a/include/bamboostile/fleet/routes.h
+++ b/include/bamboostile/fleet/routes.h
@@ -81,13 +81,13 @@
 const char* Describe(RouteProblem aProblem) noexcept;
 
 /** Why a table is invalid, and the route or service that makes it so. */
-struct RouteFinding
+struct RouteValidation
 {
   RouteProblem m_problem = RouteProblem::kNone;
   std::string m_name;
 };
 
-RouteFinding Check(const RouteTable& aTable);
+RouteValidation ValidateRoutes(const RouteTable& aTable);
 
 /**
  * @brief Finds a route by host and longest path prefix.
--- a/include/bamboostile/fleet/state.h
+++ b/include/bamboostile/fleet/state.h
@@ -61,7 +61,7 @@
   const std::map<WaveId, Wave>& Waves() const { return m_waves; }
   const Config& CurrentConfig() const { return m_config; }
   const outcome::Ledger& Outcomes() const { return m_outcomes; }
-  const jobs::Book& Jobs() const { return m_jobs; }
+  const jobs::JobTable& Jobs() const { return m_jobs; }
   bool IsFormed() const { return m_isFormed; }
   const RouteTable& Routes() const { return m_routes; }
   const RouteIndex& RouteLookup() const { return m_routeIndex; }
@@ -129,7 +129,7 @@
   std::deque<OperationId> m_replyOrder;
   outcome::Ledger m_outcomes;
   bool m_isFormed = false;
-  jobs::Book m_jobs;
+  jobs::JobTable m_jobs;
   RouteTable m_routes;
   /** Derived from m_routes. */
   RouteIndex m_routeIndex;
--- a/include/bamboostile/http/client.h
+++ b/include/bamboostile/http/client.h
@@ -20,7 +20,7 @@
   Duration m_timeout{};
   /** Uses a new connection and never retransmits. Must be set unless the
    * receiver recognizes duplicates of the request. */
-  bool m_onlyOnce = true;
+  bool m_atMostOnce = true;
   std::uint64_t m_maxAnswerBytes = 64ULL * 1024 * 1024;
   /** Called on the client's thread after connecting, right before the first
    * byte is sent, and again before a retransmission. If it returns false, the
@@ -34,16 +34,16 @@
   kAnswered,
   /** No byte of the request was sent, and none will be. */
   kNotSent,
-  kBroken,
+  kIncomplete,
   kTimedOut,
 };
 
 struct CallResult
 {
-  CallEnd m_end = CallEnd::kBroken;
+  CallEnd m_end = CallEnd::kIncomplete;
   Response m_response;
   std::string m_detail;
-  Duration m_took{};
+  Duration m_elapsed{};
   /** Time from the start of the call until its first byte was sent, including
    * waits for other calls; unset if no byte was sent. */
   std::optional<Duration> m_sentAfter;
--- a/include/bamboostile/jobs/book.h
+++ b/include/bamboostile/jobs/book.h
@@ -28,14 +28,14 @@
 {
   TaskRef m_task;
   RunNumber m_run;
-  WorkerLife m_worker;
+  WorkerIncarnation m_worker;
 };
 
 struct EndRun
 {
   TaskRef m_task;
   RunNumber m_run;
-  RunEnd m_how = RunEnd::kDone;
+  RunEnd m_endReason = RunEnd::kDone;
   std::string m_checkpoint;
   WallTime m_at;
   /** Set if the run ended because its worker was lost. */
@@ -47,7 +47,7 @@
 
 /** Marks a long-running task's run as stable: it has run for so long that the
  * loss of its worker says nothing about the task. */
-struct SettleRun
+struct MarkRunStable
 {
   TaskRef m_task;
   RunNumber m_run;
@@ -55,11 +55,11 @@
 
 /** Sets the worker incarnation of a run that an earlier version recorded with
  * the worker's id only. */
-struct AdoptRun
+struct SetRunIncarnation
 {
   TaskRef m_task;
   RunNumber m_run;
-  WorkerLife m_worker;
+  WorkerIncarnation m_worker;
 };
 
 /** Fails a job that cannot be completed. */
@@ -72,7 +72,7 @@
 
 /** Removes jobs that ended before the given time; callers can no longer query
  * them. */
-struct ForgetEnded
+struct RemoveEndedJobs
 {
   WallTime m_before;
 };
@@ -82,9 +82,9 @@
                             StartRun,
                             EndRun,
                             FailJob,
-                            ForgetEnded,
-                            SettleRun,
-                            AdoptRun>;
+                            RemoveEndedJobs,
+                            MarkRunStable,
+                            SetRunIncarnation>;
 
 /** The changes of one log entry, made durable by a single disk sync. */
 struct Batch
@@ -98,7 +98,7 @@
   kNone,
   kAccepted,
   /** A job with this id already exists. */
-  kRepeated,
+  kDuplicate,
   kUnknownJob,
   kCancelled,
 };
@@ -119,7 +119,7 @@
  * change that no longer applies (a start of a running task, an end of an
  * earlier run) is ignored, so changes may be proposed from a stale state.
  */
-class Book
+class JobTable
 {
 public:
   BatchReply Apply(const Batch& aBatch, const AttemptLimit& aLimit);
@@ -127,10 +127,11 @@
   const Job* Find(const JobId& aId) const;
   /** Jobs that are active or still have running tasks, in order of
    * acceptance. */
-  const std::map<std::uint64_t, JobId>& Open() const { return m_open; }
+  const std::map<std::uint64_t, JobId>& OpenJobs() const { return m_open; }
   const std::unordered_map<JobId, Job>& Jobs() const { return m_jobs; }
   /** Tasks that are running, or may be running, by worker incarnation. */
-  const std::unordered_map<WorkerLife, std::vector<TaskRef>>& Placed() const
+  const std::unordered_map<WorkerIncarnation, std::vector<TaskRef>>&
+  TasksByWorker() const
   {
     return m_tasksByWorker;
   }
@@ -141,18 +142,19 @@
   /** Whether the system has ended this run while its task is not done yet. A
    * late report that the run is done then completes the task, whether or not
    * the task has been started again. */
-  bool CountsLate(const TaskRef& aTask, RunNumber aRun) const;
-  bool AreOneGang(const TaskRef& aLeft, const TaskRef& aRight) const;
+  bool AcceptsLateEnd(const TaskRef& aTask, RunNumber aRun) const;
+  bool AreInSameGang(const TaskRef& aLeft, const TaskRef& aRight) const;
   /** Tasks of active jobs that were running on workers that were lost. */
-  const std::set<TaskRef>& LostWithWorkers() const { return m_tasksWithLosses; }
+  const std::set<TaskRef>& TasksWithLosses() const { return m_tasksWithLosses; }
   bool HasLosses(const JobId& aJob) const;
   /** Whether any task's next or current run is an isolated run. */
   bool HasSuspects() const;
   /** Number of accepted jobs without a due time that have no started task. */
-  std::uint64_t Pending(const QueueId& aQueue) const;
+  std::uint64_t PendingJobs(const QueueId& aQueue) const;
 
   /** Whether all steps that this step depends on are done. */
-  static bool IsTurn(const Occurrence& aOccurrence, const StepSpec& aStep);
+  static bool AreDependenciesDone(const Occurrence& aOccurrence,
+                                  const StepSpec& aStep);
   static Occurrence MakeOccurrence(const JobSpec& aSpec);
 
 private:
@@ -163,13 +165,14 @@
   CallOutcome ApplyChange(const StartRun& aStart, const AttemptLimit&);
   CallOutcome ApplyChange(const EndRun& aEnd, const AttemptLimit& aLimit);
   CallOutcome ApplyChange(const FailJob& aFail, const AttemptLimit&);
-  CallOutcome ApplyChange(const ForgetEnded& aRemoval, const AttemptLimit&);
-  CallOutcome ApplyChange(const SettleRun& aMark, const AttemptLimit&);
-  CallOutcome ApplyChange(const AdoptRun& aChange, const AttemptLimit&);
+  CallOutcome ApplyChange(const RemoveEndedJobs& aRemoval, const AttemptLimit&);
+  CallOutcome ApplyChange(const MarkRunStable& aMark, const AttemptLimit&);
+  CallOutcome ApplyChange(const SetRunIncarnation& aChange,
+                          const AttemptLimit&);
 
   Job* FindJob(const JobId& aId);
   Task* FindMutableTask(const TaskRef& aTask);
-  void RemoveFromWorker(const WorkerLife& aWorker, const TaskRef& aTask);
+  void RemoveFromWorker(const WorkerIncarnation& aWorker, const TaskRef& aTask);
   void Finish(Job& aJob, JobState aState, WallTime aAt);
   void MarkStarted(Job& aJob);
   void MarkPendingIfNoProgress(Job& aJob);
@@ -188,14 +191,14 @@
   std::unordered_map<JobId, Job> m_jobs;
   std::uint64_t m_nextOrder = 1;
   std::map<std::uint64_t, JobId> m_open;
-  std::unordered_map<WorkerLife, std::vector<TaskRef>> m_tasksByWorker;
+  std::unordered_map<WorkerIncarnation, std::vector<TaskRef>> m_tasksByWorker;
   std::unordered_map<QueueId, std::uint64_t> m_pending;
   std::set<TaskRef> m_tasksWithLosses;
 };
 
 std::string EncodeBatch(const Batch& aBatch);
 std::optional<Batch> DecodeBatch(const std::string& aBytes);
-std::string EncodeBook(const Book& aBook);
-std::optional<Book> DecodeBook(const std::string& aBytes);
+std::string EncodeJobTable(const JobTable& aBook);
+std::optional<JobTable> DecodeJobTable(const std::string& aBytes);
 
 } // namespace bamboostile::jobs
--- a/include/bamboostile/jobs/calls.h
+++ b/include/bamboostile/jobs/calls.h
@@ -8,7 +8,7 @@
 {
   kSubmit,
   /** Queries the state of a job or of the whole queue. */
-  kLook,
+  kQuery,
   kCancel,
 };
 
@@ -17,7 +17,7 @@
 /** A caller's call to a queue, as an entry received it. */
 struct QueueCall
 {
-  CallKind m_kind = CallKind::kLook;
+  CallKind m_kind = CallKind::kQuery;
   std::string m_host;
   /** The queue's path prefix, followed by the job's id if the call names one.
    */
--- a/include/bamboostile/jobs/crash_loop.h
+++ b/include/bamboostile/jobs/crash_loop.h
@@ -27,24 +27,24 @@
 
 /** Whether no loss points to this task in particular yet. Such a suspect may
  * share its isolated run's worker with other suspects of this kind. */
-bool MayBeTriedTogether(const std::vector<WorkerLoss>& aLosses);
+bool CanBeIsolatedTogether(const std::vector<WorkerLoss>& aLosses);
 
 /** Whether isolation lasts for the whole run and not only until a report
  * confirms the run. */
-bool IsTriedThroughout(const std::vector<WorkerLoss>& aLosses);
+bool IsIsolatedForWholeRun(const std::vector<WorkerLoss>& aLosses);
 
 /** Whether the next isolated run waits until no other worker is being lost. */
-bool NeedsCalm(const std::vector<WorkerLoss>& aLosses);
+bool NeedsQuietPeriod(const std::vector<WorkerLoss>& aLosses);
 
 /** Whether one of the lost workers ran on the instance. */
-bool WasLostOn(const std::vector<WorkerLoss>& aLosses,
+bool HasLossOn(const std::vector<WorkerLoss>& aLosses,
                const InstanceId& aInstance);
 
 /** Returns the number of distinct instances on which workers were lost. */
 std::size_t CountInstances(const std::vector<WorkerLoss>& aLosses);
 
 /** Whether the task must not be started again. */
-bool IsProven(const std::vector<WorkerLoss>& aLosses);
+bool IsProvenCrasher(const std::vector<WorkerLoss>& aLosses);
 
 /** Returns the delay between the end of the last run and the next isolated run.
  * It grows with each loss and is the same on all replicas. */
--- a/include/bamboostile/jobs/model.h
+++ b/include/bamboostile/jobs/model.h
@@ -35,7 +35,7 @@
 {
   std::uint32_t m_count = 0;
   /** Resources that each task needs. */
-  Resources m_needs;
+  Resources m_resources;
   /** The caller's estimate of a task's duration. */
   Millis m_estimate{};
   /** Indexes of earlier steps that must be done before this step starts. */
@@ -49,7 +49,7 @@
   /** Runs until the job is cancelled. */
   bool m_longRunning = false;
   /** Uses CPU that other tasks leave idle; reserves none of its own. */
-  bool m_fills = false;
+  bool m_bestEffort = false;
   std::string m_requiredLabel;
   /** The rack that holds the input data; tasks are slower on other racks. */
   RackId m_preferredRack;
@@ -64,7 +64,10 @@
 
   /** CPU that each task reserves on a worker, in thousandths of a core; 0 for
    * best-effort tasks. */
-  std::int64_t CountedCpu() const { return m_fills ? 0 : m_needs.m_cpuMillis; }
+  std::int64_t ReservedCpu() const
+  {
+    return m_bestEffort ? 0 : m_resources.m_cpuMillis;
+  }
 
   bool operator==(const StepSpec&) const = default;
 };
@@ -109,16 +112,16 @@
   /** The task had just been started there. */
   kStarting = 2,
   /** The task was a suspect, and nothing else explains the loss. */
-  kAlone = 3,
+  kIsolated = 3,
   /** The task was running there, and other workers were lost at about the same
    * time. */
-  kShared = 4,
+  kConcurrent = 4,
 };
 
 /** The loss, for an unknown reason, of a worker that was running a task. */
 struct WorkerLoss
 {
-  WorkerLife m_worker;
+  WorkerIncarnation m_worker;
   /** Empty if the worker never reported. */
   InstanceId m_instance;
   RunNumber m_run;
@@ -132,12 +135,12 @@
   RunNumber m_lastRun;
   std::uint16_t m_failures = 0;
   /** The worker of the last run. */
-  WorkerLife m_worker;
+  WorkerIncarnation m_worker;
   std::string m_checkpoint;
   std::vector<WorkerLoss> m_losses;
   /** Set for a long-running task whose run has lasted so long that the loss of
    * its worker says nothing about the task. */
-  bool m_settled = false;
+  bool m_isStable = false;
 };
 
 struct StepRun
--- a/include/bamboostile/jobs/worker_life.h
+++ b/include/bamboostile/jobs/worker_life.h
@@ -20,7 +20,7 @@
  * Tasks assigned to a worker and reports from it belong to the incarnation and
  * not to the id: a restarted process keeps neither tasks nor state.
  */
-struct WorkerLife
+struct WorkerIncarnation
 {
   WorkerId m_id;
   /** Start time by the worker's own wall clock; 0 if not reported. It
@@ -28,17 +28,18 @@
    * clock may have been set back between two starts. */
   WallTime m_startedAt{};
 
-  bool SaysStart() const { return m_startedAt != WallTime{}; }
+  bool HasStartTime() const { return m_startedAt != WallTime{}; }
 
-  auto operator<=>(const WorkerLife&) const = default;
+  auto operator<=>(const WorkerIncarnation&) const = default;
 };
 
 } // namespace bamboostile
 
 template<>
-struct std::hash<bamboostile::WorkerLife>
+struct std::hash<bamboostile::WorkerIncarnation>
 {
-  std::size_t operator()(const bamboostile::WorkerLife& aIncarnation) const
+  std::size_t operator()(
+    const bamboostile::WorkerIncarnation& aIncarnation) const
   {
     const auto startedAt =
       static_cast<std::uint64_t>(aIncarnation.m_startedAt.Get());
--- a/include/bamboostile/json/fields.h
+++ b/include/bamboostile/json/fields.h
@@ -18,22 +18,22 @@
 using Json = nlohmann::json;
 
 /** Larger than any valid time or count, and exact in a double. */
-constexpr std::int64_t kMaxWhole = std::int64_t{ 1 } << 52;
+constexpr std::int64_t kMaxInteger = std::int64_t{ 1 } << 52;
 
 /** The first invalid field, and a description of the allowed values. */
-struct BadField
+struct InvalidField
 {
   std::string m_field;
   std::string m_allowed;
 };
 
 /** Returns a JSON body that tells a caller which field is invalid. */
-std::string ToJson(const BadField& aInvalid);
+std::string ToJson(const InvalidField& aInvalid);
 
 /** Thrown for an invalid field; CatchInvalidField() turns it into a result. */
-struct Wrong
+struct InvalidFieldError
 {
-  BadField m_bad;
+  InvalidField m_invalidField;
 };
 
 [[noreturn]] void Reject(const std::string& aField,
@@ -46,33 +46,34 @@
                    const char* aKey,
                    bool aRequired = false);
 
-std::int64_t Whole(const Json& aValue,
-                   const std::string& aField,
-                   std::int64_t aMin,
-                   std::int64_t aMax);
+std::int64_t IntegerOf(const Json& aValue,
+                       const std::string& aField,
+                       std::int64_t aMin,
+                       std::int64_t aMax);
 std::uint32_t CountOf(const Json& aValue, const char* aField);
-std::string TextOf(const Json& aValue, const char* aField);
+std::string StringOf(const Json& aValue, const char* aField);
 
 /** The functions below return aDefault, 0 or the empty string if the field is
  * absent. */
-std::int64_t WholeAt(const Json& aObject, const char* aKey);
+std::int64_t IntegerAt(const Json& aObject, const char* aKey);
 std::uint32_t CountAt(const Json& aObject, const char* aKey);
 Millis MillisAt(const Json& aObject, const char* aKey);
 double NumberAt(const Json& aObject, const char* aKey, double aDefault = 0);
-bool FlagAt(const Json& aObject, const char* aKey, bool aDefault = false);
-std::string TextAt(const Json& aObject, const char* aKey);
+bool BoolAt(const Json& aObject, const char* aKey, bool aDefault = false);
+std::string StringAt(const Json& aObject, const char* aKey);
 /** Rejects a field that is absent or empty. */
-std::string NameAt(const Json& aObject, const char* aKey);
+std::string NonEmptyStringAt(const Json& aObject, const char* aKey);
 
 /** Runs a reader; if it rejects a field, returns nullopt and sets aInvalid. */
 template<typename Fn>
 auto
-Guarded(BadField& aInvalid, Fn aRead) -> std::optional<decltype(aRead())>
+CatchInvalidField(InvalidField& aInvalid, Fn aRead)
+  -> std::optional<decltype(aRead())>
 {
   try {
     return aRead();
-  } catch (const Wrong& invalid) {
-    aInvalid = invalid.m_bad;
+  } catch (const InvalidFieldError& invalid) {
+    aInvalid = invalid.m_invalidField;
   } catch (const Json::exception& error) {
     aInvalid = { "(body)", error.what() };
   }
--- a/include/bamboostile/membership/registry.h
+++ b/include/bamboostile/membership/registry.h
@@ -76,15 +76,15 @@
 
   void OnSync(const SyncReport& aReport, TimePoint aNow);
   /** Counts an announcement as a report of the instance. */
-  void OnAlive(const InstanceId& aInstance,
-               Incarnation aIncarnation,
-               TimePoint aNow);
+  void OnAnnouncement(const InstanceId& aInstance,
+                      Incarnation aIncarnation,
+                      TimePoint aNow);
 
   /** Whether every entry that may still serve has aRevision in force. */
   bool InForce(Index aRevision, TimePoint aNow) const;
 
   /** Whether no entry sends new work to the instance and none is in flight. */
-  bool IsEmpty(const fleet::Instance& aInstance, TimePoint aNow) const;
+  bool IsDrained(const fleet::Instance& aInstance, TimePoint aNow) const;
 
   bool IsAlive(const outcome::EntryId& aEntry, TimePoint aNow) const;
   std::vector<EntryStatus> LiveEntries(TimePoint aNow) const;
--- a/include/bamboostile/placement/capacity.h
+++ b/include/bamboostile/placement/capacity.h
@@ -17,12 +17,12 @@
 };
 
 /** Actual and desired capacity of a pool, shown to operators. */
-struct PoolNeed
+struct PoolCapacity
 {
   ServiceId m_service;
   /** Workers that report, and instances being moved into the pool. */
-  std::size_t m_have = 0;
-  std::size_t m_want = 0;
+  std::size_t m_actual = 0;
+  std::size_t m_desired = 0;
   /** CPU times expected duration of all waiting and running tasks, in
    * core-seconds. */
   std::int64_t m_workCoreSeconds = 0;
@@ -33,10 +33,10 @@
 
 struct CapacityPlan
 {
-  std::vector<PoolNeed> m_needs;
+  std::vector<PoolCapacity> m_pools;
   /** Workers that get no new work: they are about to leave their pool, or are
    * being drained for another one. */
-  std::set<WorkerLife> m_cordoned;
+  std::set<WorkerIncarnation> m_cordoned;
   std::vector<MoveOrder> m_orders;
 };
 
@@ -64,12 +64,12 @@
   double m_ordersPerSecond = 64;
   /** Minimum time between an earlier leader's last order for an instance and
    * the first of this leader, so that orders of two leaders never alternate. */
-  Duration m_betweenLeaders = Millis{ 3000 };
+  Duration m_handoverDelay = Millis{ 3000 };
   /** A new leader moves no instance for this long, until the workers that
    * report frequently have done so: it would treat the others as missing. */
   Duration m_reportWait = Millis{ 250 };
   /** Time that the platform takes to move an instance. */
-  Duration m_moveTakes = Millis{ 1500 };
+  Duration m_moveDuration = Millis{ 1500 };
 };
 
 /**
@@ -89,30 +89,30 @@
   /** aReserved: workers whose instances maintenance is about to take down. */
   CapacityPlan Next(const fleet::State& aState,
                     const WorkerTable& aWorkers,
-                    const std::set<WorkerLife>& aReserved,
-                    const Durations& aDurations,
+                    const std::set<WorkerIncarnation>& aReserved,
+                    const DurationEstimator& aDurations,
                     const OrderRecord& aRecord,
                     TimePoint aNow,
                     WallTime aWall);
 
   void AllowOrders(bool aAllowed) { m_isAllowed = aAllowed; }
   /** Counts maintenance orders, which have priority, against the same rate. */
-  void OnOtherOrders(std::size_t aCount);
+  void OnMaintenanceOrders(std::size_t aCount);
   /** aStandby: the pool whose instances are off. */
   void OnListed(const std::vector<ListedInstance>& aInstances,
                 const ServiceId& aStandby,
                 TimePoint aNow);
   /** Returns the incarnation that the order has ended, if that is certain. */
-  std::optional<WorkerLife> OnAnswer(const MoveOrder& aOrder,
-                                     InstanceAnswer aAnswer,
-                                     TimePoint aNow);
+  std::optional<WorkerIncarnation> OnAnswer(const MoveOrder& aOrder,
+                                            InstanceAnswer aAnswer,
+                                            TimePoint aNow);
 
 private:
   struct Move
   {
     ServiceId m_to;
     TimePoint m_since;
-    std::optional<WorkerLife> m_targetIncarnation;
+    std::optional<WorkerIncarnation> m_targetIncarnation;
     std::uint64_t m_number = 0;
     bool m_isAnswered = false;
     bool m_isAccepted = false;
@@ -153,12 +153,12 @@
 
   Pools ComputePools(const fleet::State& aState,
                      const WorkerTable& aWorkers,
-                     const std::set<WorkerLife>& aReserved,
-                     const Durations& aDurations,
+                     const std::set<WorkerIncarnation>& aReserved,
+                     const DurationEstimator& aDurations,
                      TimePoint aNow,
                      WallTime aWall) const;
   void AddDemand(const fleet::State& aState,
-                 const Durations& aDurations,
+                 const DurationEstimator& aDurations,
                  WallTime aWall,
                  Pools& aPools) const;
   void RefillOrderTokens(TimePoint aNow);
@@ -178,28 +178,29 @@
                 TimePoint aUpSince,
                 TimePoint aNow) const;
   /** aDraining: workers that may be moved as soon as they are idle. */
-  std::vector<const Worker*> FindMovable(const WorkerTable& aWorkers,
-                                         const std::set<WorkerLife>& aReserved,
-                                         const OrderRecord& aRecord,
-                                         Duration aIdleFor,
-                                         const std::set<WorkerLife>& aDraining,
-                                         TimePoint aNow) const;
+  std::vector<const Worker*> FindMovable(
+    const WorkerTable& aWorkers,
+    const std::set<WorkerIncarnation>& aReserved,
+    const OrderRecord& aRecord,
+    Duration aIdleFor,
+    const std::set<WorkerIncarnation>& aDraining,
+    TimePoint aNow) const;
   bool IsBackingOff(const InstanceId& aInstance, TimePoint aNow) const;
   std::optional<InstanceId> FindStandby(const WorkerTable& aWorkers,
                                         const OrderRecord& aRecord,
                                         TimePoint aNow) const;
   void FillPools(const WorkerTable& aWorkers,
-                 const std::set<WorkerLife>& aReserved,
+                 const std::set<WorkerIncarnation>& aReserved,
                  const OrderRecord& aRecord,
                  TimePoint aNow,
                  Pools& aPools,
                  CapacityPlan& aPlan);
-  void DrainSurplus(const std::set<WorkerLife>& aReserved,
+  void DrainSurplus(const std::set<WorkerIncarnation>& aReserved,
                     TimePoint aNow,
                     Pools& aPools);
   void MoveIdleToStandby(const ServiceId& aStandby,
                          const WorkerTable& aWorkers,
-                         const std::set<WorkerLife>& aReserved,
+                         const std::set<WorkerIncarnation>& aReserved,
                          const OrderRecord& aRecord,
                          TimePoint aNow,
                          Pools& aPools,
@@ -215,11 +216,11 @@
   /** Instances in standby, and when this leader first saw each listed as up. */
   std::map<InstanceId, TimePoint> m_standby;
   std::map<InstanceId, Move> m_moves;
-  std::map<WorkerLife, TimePoint> m_idleSince;
+  std::map<WorkerIncarnation, TimePoint> m_idleSince;
   std::map<InstanceId, TimePoint> m_retryNotBefore;
   /** Workers that get no new work until they are idle and moved, or until no
    * other pool needs them. */
-  std::set<WorkerLife> m_drainingWorkers;
+  std::set<WorkerIncarnation> m_drainingWorkers;
   /** Token bucket: orders that the rate allows now. */
   double m_orderTokens = 0;
   bool m_isAllowed = true;
--- a/include/bamboostile/placement/durations.h
+++ b/include/bamboostile/placement/durations.h
@@ -11,10 +11,10 @@
  *
  * Callers' estimates may be wrong by nine tenths.
  */
-class Durations
+class DurationEstimator
 {
 public:
-  void Learn(const jobs::StepSpec& aStep, Duration aDuration);
+  void Record(const jobs::StepSpec& aStep, Duration aDuration);
   /** Estimate for one task of the step: the caller's own until a run of the
    * same image has succeeded. */
   Millis Estimate(const jobs::StepSpec& aStep) const;
--- a/include/bamboostile/placement/ended_lives.h
+++ b/include/bamboostile/placement/ended_lives.h
@@ -17,7 +17,7 @@
 class EndedIncarnations
 {
 public:
-  void Add(const WorkerLife& aIncarnation)
+  void Add(const WorkerIncarnation& aIncarnation)
   {
     if (!m_incarnations.insert(aIncarnation).second) {
       return;
@@ -29,27 +29,27 @@
     }
   }
 
-  void Remove(const WorkerLife& aIncarnation)
+  void Remove(const WorkerIncarnation& aIncarnation)
   {
     if (m_incarnations.erase(aIncarnation) > 0) {
       std::erase(m_inOrder, aIncarnation);
     }
   }
 
-  bool Contains(const WorkerLife& aIncarnation) const
+  bool Contains(const WorkerIncarnation& aIncarnation) const
   {
     return m_incarnations.contains(aIncarnation);
   }
 
-  const std::set<WorkerLife>& All() const { return m_incarnations; }
+  const std::set<WorkerIncarnation>& All() const { return m_incarnations; }
 
   /** Maximum number of incarnations; far fewer can end while a report is under
    * way. */
   static constexpr std::size_t kMaxIncarnations = 20'000;
 
 private:
-  std::set<WorkerLife> m_incarnations;
-  std::deque<WorkerLife> m_inOrder;
+  std::set<WorkerIncarnation> m_incarnations;
+  std::deque<WorkerIncarnation> m_inOrder;
 };
 
 } // namespace bamboostile::placement
--- a/include/bamboostile/placement/load_shedder.h
+++ b/include/bamboostile/placement/load_shedder.h
@@ -5,17 +5,17 @@
 namespace bamboostile::placement {
 
 /** What an overloaded leader skips. Each level includes those before it. */
-enum class Shedding
+enum class SheddingLevel
 {
-  kNothing,
+  kNone,
   /** No new orders for instances, and workers report half as often. */
   kInstances,
   /** Placement passes get half as much time, and workers report a quarter as
    * often. */
-  kPlacing,
+  kPlacement,
 };
 
-const char* Describe(Shedding aLevel) noexcept;
+const char* Describe(SheddingLevel aLevel) noexcept;
 
 /**
  * @brief Decides what an overloaded leader skips so that it keeps renewing
@@ -29,8 +29,8 @@
 {
 public:
   /** Records how long a report has waited for the event loop. */
-  void OnWaited(Duration aWaited, TimePoint aNow);
-  Shedding Level(TimePoint aNow) const;
+  void RecordWait(Duration aWaited, TimePoint aNow);
+  SheddingLevel Level(TimePoint aNow) const;
 
 private:
   /** The longest wait in a window that began at m_since. */
@@ -47,6 +47,6 @@
 };
 
 /** Factor by which the report intervals of workers grow. */
-int ReportStretch(Shedding aLevel) noexcept;
+int ReportIntervalFactor(SheddingLevel aLevel) noexcept;
 
 } // namespace bamboostile::placement
--- a/include/bamboostile/placement/losses.h
+++ b/include/bamboostile/placement/losses.h
@@ -24,18 +24,18 @@
  * not know. */
 struct LostWorker
 {
-  WorkerLife m_worker;
+  WorkerIncarnation m_worker;
   /** Empty if the worker never reported. */
   InstanceId m_instance;
   LossCause m_cause = LossCause::kLeaseEnded;
   /** Time since its last report. */
-  Duration m_silentFor{};
+  Duration m_unresponsiveFor{};
   std::size_t m_runs = 0;
   /** Number of those runs whose start was sent and is unconfirmed. */
-  std::size_t m_starting = 0;
+  std::size_t m_unconfirmedStarts = 0;
   /** Number of other workers whose last report was at about the same time,
    * without an isolated run on them. */
-  std::size_t m_lostBeside = 0;
+  std::size_t m_concurrentLosses = 0;
 };
 
 /** Workers whose last reports are at most this far apart may have been lost
--- a/include/bamboostile/placement/maintenance.h
+++ b/include/bamboostile/placement/maintenance.h
@@ -21,14 +21,14 @@
 /** The platform's answer to an order. */
 enum class InstanceAnswer
 {
-  kTaken,
+  kAccepted,
   /** The instance is not up at the moment, or is leaving. */
   kBusy,
   /** The platform does not know the instance or the wave, or the wave does not
    * include the instance. */
-  kNotMeant,
+  kNotApplicable,
   /** A later leader has sent an order. */
-  kOvertaken,
+  kSuperseded,
   /** Abandoned before its first byte was sent; it will not be executed. */
   kNotSent,
   /** No answer, or an inconclusive one; the order may have been executed. */
@@ -65,19 +65,19 @@
 /** Limit on unanswered orders; moves and maintenance orders each have their
  * own. Each order costs the leader time, and a delayed one acts on a state that
  * has changed since. A healthy platform never reaches the limit. */
-inline constexpr std::size_t kMostOrdersUnderWay = 32;
+inline constexpr std::size_t kMaxUnansweredOrders = 32;
 
 struct MaintenancePlan
 {
   /** Workers that get no new work because their maintenance is near. */
-  std::set<WorkerLife> m_cordoned;
+  std::set<WorkerIncarnation> m_cordoned;
   std::vector<MaintenanceAdvance> m_advances;
   /** Orders to send; each is repeated until it is answered. */
   std::vector<MaintenanceOrder> m_orders;
   /** A wave is not done; the platform's list may show the outcome of orders. */
-  bool m_isOpen = false;
+  bool m_hasOpenWave = false;
   /** An instance is probably back, which the platform's list would confirm. */
-  bool m_wantsList = false;
+  bool m_needsInstanceList = false;
 };
 
 /** The consequences of an answer. */
@@ -85,7 +85,7 @@
 {
   std::optional<MaintenanceAdvance> m_advance;
   /** The incarnation that the order has ended; unset if that is uncertain. */
-  std::optional<WorkerLife> m_ended;
+  std::optional<WorkerIncarnation> m_endedIncarnation;
 };
 
 struct MaintenanceOptions
@@ -93,13 +93,13 @@
   /** The longest time from sending an order until the platform executes it. A
    * new leader waits this long before its first order, so that calls of an
    * earlier leader have ended. */
-  Duration m_quietAfterElection = Millis{ 3000 };
+  Duration m_maxOrderDelay = Millis{ 3000 };
   /** How long a cordoned instance may run on to finish tasks that end by
    * themselves: discarded work costs more than a slightly late wave. */
   Duration m_drainTimeout = Millis{ 4000 };
   Duration m_retryAfter = Millis{ 1500 };
   /** The usual time that the platform keeps an instance down. */
-  Duration m_takes = Millis{ 2000 };
+  Duration m_expectedDowntime = Millis{ 2000 };
   /** Time after an instance went down in which the platform's list is polled
    * for its return; later the list is read only at its regular interval. */
   Duration m_listPollWindow = Millis{ 8000 };
@@ -140,7 +140,7 @@
     std::optional<TimePoint> m_cordonedSince;
     TimePoint m_notBefore;
     /** The incarnation that an order would end, once it is scheduled. */
-    std::optional<WorkerLife> m_targetIncarnation;
+    std::optional<WorkerIncarnation> m_targetIncarnation;
     bool m_isScheduled = false;
   };
 
@@ -151,7 +151,7 @@
      * platform, and an answer may refer to that one. */
     bool m_isRepeated = false;
     /** The incarnation that the order ends; unset if that is uncertain. */
-    std::optional<WorkerLife> m_targetIncarnation;
+    std::optional<WorkerIncarnation> m_targetIncarnation;
     TimePoint m_notBefore;
     /** No transmission with an unclear outcome is later than this. */
     TimePoint m_lastUnclearAt;
--- a/include/bamboostile/placement/order_record.h
+++ b/include/bamboostile/placement/order_record.h
@@ -38,7 +38,7 @@
   /** The instance may have had an order from an earlier leader too recently. */
   bool IsInherited(const InstanceId& aInstance) const;
   /** Returns instances whose records the state may remove, each only once. */
-  std::vector<InstanceId> TakeSettled(TimePoint aNow);
+  std::vector<InstanceId> TakeExpired(TimePoint aNow);
 
 private:
   Duration m_minInterval;
--- a/include/bamboostile/placement/plan_pacer.h
+++ b/include/bamboostile/placement/plan_pacer.h
@@ -20,9 +20,9 @@
   {
     return !aHasMore || aNow >= m_notBefore;
   }
-  void OnPlanned(TimePoint aBegan,
-                 TimePoint aEnded,
-                 Shedding aShedding = Shedding::kNothing);
+  void OnPassEnded(TimePoint aBegan,
+                   TimePoint aEnded,
+                   SheddingLevel aShedding = SheddingLevel::kNone);
 
 private:
   TimePoint m_notBefore;
--- a/include/bamboostile/placement/planner.h
+++ b/include/bamboostile/placement/planner.h
@@ -34,20 +34,20 @@
   {
   }
 
-  Plan Next(const fleet::State& aState,
-            const WorkerTable& aWorkers,
-            const std::set<WorkerLife>& aCordoned,
-            TimePoint aNow,
-            WallTime aWall);
+  Plan ComputePlan(const fleet::State& aState,
+                   const WorkerTable& aWorkers,
+                   const std::set<WorkerIncarnation>& aCordoned,
+                   TimePoint aNow,
+                   WallTime aWall);
 
   /** Updates the estimates with the duration of a successful run. */
-  void Learn(const jobs::StepSpec& aStep, Duration aDuration)
+  void RecordDuration(const jobs::StepSpec& aStep, Duration aDuration)
   {
     if (m_mechanisms.Has(Mechanism::kLearnedDurations)) {
-      m_durations.Learn(aStep, aDuration);
+      m_durations.Record(aStep, aDuration);
     }
   }
-  const Durations& EstimatedDurations() const { return m_durations; }
+  const DurationEstimator& EstimatedDurations() const { return m_durations; }
 
 private:
   /** The free capacity of a worker and what the worker hosts. */
@@ -98,12 +98,12 @@
 
   using Pool = std::vector<Target>;
   /** Number of running tasks of one step on each worker. */
-  using TasksPerWorker = std::unordered_map<WorkerLife, std::uint32_t>;
+  using TasksPerWorker = std::unordered_map<WorkerIncarnation, std::uint32_t>;
   using Pools = std::unordered_map<ServiceId, Pool>;
 
   Pools FindTargets(const fleet::State& aState,
                     const WorkerTable& aWorkers,
-                    const std::set<WorkerLife>& aCordoned,
+                    const std::set<WorkerIncarnation>& aCordoned,
                     TimePoint aNow) const;
   std::vector<Candidate> FindCandidates(const fleet::State& aState,
                                         WallTime aWall) const;
@@ -126,7 +126,7 @@
   static std::vector<Candidate> OrderSuspects(
     std::vector<Candidate>::const_iterator aFrom,
     std::vector<Candidate>::const_iterator aTo,
-    const jobs::Book& aBook);
+    const jobs::JobTable& aBook);
   /** Starts an isolated run of one suspect of the step whose retry delay has
    * ended, or of all such suspects that may share a worker. */
   void PlaceSuspects(const Candidate& aCandidate,
@@ -136,7 +136,7 @@
                      Plan& aPlan) const;
   void FindIsolatedRuns(const Worker& aWorker,
                         const std::vector<jobs::TaskRef>& aPlaced,
-                        const jobs::Book& aBook,
+                        const jobs::JobTable& aBook,
                         Target& aTarget) const;
   /** Null if no worker may take the task. aTimeSinceDelay: time since its retry
    * delay ended. */
@@ -163,7 +163,7 @@
     const jobs::TaskRef& aTask,
     const std::vector<jobs::WorkerLoss>& aLosses,
     WallTime aWall);
-  static std::uint32_t TasksOnWorker(const WorkerLife& aWorker,
+  static std::uint32_t TasksOnWorker(const WorkerIncarnation& aWorker,
                                      const TasksPerWorker& aTasksPerWorker);
   /** aTasksOnWorker: running tasks of the step on this worker. */
   static bool IsAllowed(const jobs::StepSpec& aStep,
@@ -183,7 +183,7 @@
                           const Plan& aPlan);
   void MoveLongRunningTasks(const fleet::State& aState,
                             const WorkerTable& aWorkers,
-                            const std::set<WorkerLife>& aCordoned,
+                            const std::set<WorkerIncarnation>& aCordoned,
                             TimePoint aNow,
                             Pools& aPools,
                             Plan& aPlan) const;
@@ -191,7 +191,7 @@
                       const jobs::Occurrence* aProgress) const;
 
   Mechanisms m_mechanisms;
-  placement::Durations m_durations;
+  placement::DurationEstimator m_durations;
 };
 
 } // namespace bamboostile::placement
--- a/include/bamboostile/placement/workers.h
+++ b/include/bamboostile/placement/workers.h
@@ -31,13 +31,13 @@
   std::uint64_t m_number = 0;
   jobs::TaskRef m_task;
   RunNumber m_run;
-  jobs::RunEnd m_how = jobs::RunEnd::kDone;
+  jobs::RunEnd m_endReason = jobs::RunEnd::kDone;
   std::string m_checkpoint;
 };
 
 struct WorkerReport
 {
-  WorkerLife m_worker;
+  WorkerIncarnation m_worker;
   /** The instance that the worker runs on; empty where the worker does not
    * report it. */
   InstanceId m_instance;
@@ -109,13 +109,13 @@
    * there is an order for it. A worker drops an answer that takes longer than
    * 1 s, and with it its lease; the remaining time covers the network and a
    * busy leader. */
-  Duration m_holdQuiet = Millis{ 400 };
+  Duration m_steadyAnswerDelay = Millis{ 400 };
   /** Time from the answer to the delayed report of a steady worker to its next
    * report. */
   Duration m_steadyReportDelay = Millis{ 50 };
   /** Maximum delay of a report. A run missing from a report proves nothing
    * until this long after the start was sent or the leader was elected. */
-  Duration m_lateReports = Millis{ 3000 };
+  Duration m_maxReportDelay = Millis{ 3000 };
   /** A new incarnation on an instance proves the end of the previous one only
    * after it has reported for this long without a report from the previous
    * one. A single report may be a delayed one of an incarnation that ended
@@ -142,12 +142,12 @@
 /** The ends accepted from the reports of a worker, up to this number. */
 struct Receipt
 {
-  WorkerLife m_worker;
+  WorkerIncarnation m_worker;
   std::uint64_t m_upTo = 0;
 };
 
 /** Resources of a worker that its runs reserve. */
-struct RoomUse
+struct ReservedCapacity
 {
   std::int64_t m_cpuMillis = 0;
   std::int64_t m_memoryMb = 0;
@@ -157,8 +157,8 @@
   bool m_isUnknown = false;
 
   void Add(const jobs::StepSpec& aStep);
-  bool Leaves(const jobs::Resources& aCapacity,
-              const jobs::StepSpec& aStep) const;
+  bool LeavesCapacityFor(const jobs::Resources& aCapacity,
+                         const jobs::StepSpec& aStep) const;
 };
 
 /** Recent failures of an instance. The next incarnation on the instance
@@ -182,22 +182,22 @@
  * for m_health, which the next incarnation on the instance inherits. */
 struct Worker
 {
-  WorkerReport m_last;
-  TimePoint m_heardAt;
-  TimePoint m_firstHeardAt;
+  WorkerReport m_lastReport;
+  TimePoint m_lastReportAt;
+  TimePoint m_firstReportAt;
   /** When everything that the worker runs has ended, unless a new lease is
    * granted. */
   TimePoint m_leaseEnd;
   /** The worker's lease has ended without a report. */
-  bool m_silent = false;
+  bool m_isLost = false;
   /** For a lost worker: whether an isolated run of a suspect was on it. */
   bool m_lostInIsolatedRun = false;
   /** For a lost worker: what its loss implies about each of its tasks. */
   std::map<jobs::TaskRef, jobs::CrashEvidence> m_evidence;
   /** Resources of all runs that the last report shows as active, and of those
    * among them that the state does not have on this worker. */
-  RoomUse m_reservedByActive;
-  RoomUse m_strayUse;
+  ReservedCapacity m_reservedByActive;
+  ReservedCapacity m_reservedByUntracked;
   /** Number of runs that the state has on this worker and its last report
    * shows, active or ended. */
   std::size_t m_reportedRuns = 0;
@@ -213,30 +213,31 @@
 
   bool IsUsable(TimePoint aNow) const
   {
-    return !m_silent && !m_last.m_draining && aNow >= m_health.m_excludedUntil;
+    return !m_isLost && !m_lastReport.m_draining &&
+           aNow >= m_health.m_excludedUntil;
   }
 };
 
 /** Why a report is ignored and its worker gets no lease for it. */
-enum class Ignored
+enum class IgnoreReason
 {
   /** Its sequence is not above that of the last report. */
-  kOvertaken,
+  kStale,
   /** The worker has ended. */
   kWorkerEnded,
   /** It may be a delayed report of an incarnation that ended before the
    * current one began. */
-  kUnproven,
+  kUnconfirmed,
 };
 
-const char* Describe(Ignored aReason) noexcept;
+const char* Describe(IgnoreReason aReason) noexcept;
 
 /** The result of processing one report. */
-struct Heard
+struct ReportResult
 {
-  std::optional<Ignored> m_ignored;
+  std::optional<IgnoreReason> m_ignored;
   /** The previous incarnation, which has ended because this one follows it. */
-  std::optional<WorkerLife> m_superseded;
+  std::optional<WorkerIncarnation> m_superseded;
   /** Number of reported ends with already acknowledged numbers, whose runs the
    * state still has on this worker. */
   std::size_t m_skippedEnds = 0;
@@ -246,7 +247,7 @@
   std::vector<jobs::EndRun> m_ends;
   /** Runs that the report shows and the state has under the worker's id only,
    * without an incarnation. */
-  std::vector<jobs::AdoptRun> m_adopted;
+  std::vector<jobs::SetRunIncarnation> m_adopted;
 };
 
 /** Identifies what runs one incarnation of a worker at a time: its instance,
@@ -267,10 +268,10 @@
 public:
   WorkerTable(LeaseOptions aOptions, TimePoint aLeaderSince);
 
-  Heard OnReport(const WorkerReport& aReport,
-                 const jobs::Book& aBook,
-                 TimePoint aNow,
-                 WallTime aWall);
+  ReportResult OnReport(const WorkerReport& aReport,
+                        const jobs::JobTable& aBook,
+                        TimePoint aNow,
+                        WallTime aWall);
 
   /** Returns the ends accepted since the last call, to be acknowledged once
    * they are committed. */
@@ -278,62 +279,67 @@
   void Acknowledge(const std::vector<Receipt>& aReceipts);
   /** The ends were not committed: they are accepted again when their workers
    * repeat them. */
-  void TakeBack(const std::vector<Receipt>& aReceipts);
+  void Rollback(const std::vector<Receipt>& aReceipts);
 
   /** Returns the runs that ended because their worker's lease ended. */
-  std::vector<jobs::EndRun> FindLost(const jobs::Book& aBook,
-                                     TimePoint aNow,
-                                     WallTime aWall);
+  std::vector<jobs::EndRun> CollectLostRuns(const jobs::JobTable& aBook,
+                                            TimePoint aNow,
+                                            WallTime aWall);
 
   /** No worker is unresponsive or was lost recently, except for those with an
    * isolated run. */
-  bool IsCalm(const jobs::Book& aBook, TimePoint aNow) const;
+  bool IsQuietPeriod(const jobs::JobTable& aBook, TimePoint aNow) const;
   /** Returns the workers that were lost with runs since the last call. */
-  std::vector<LostWorker> TakeLost() { return std::exchange(m_lost, {}); }
+  std::vector<LostWorker> TakeLostWorkers()
+  {
+    return std::exchange(m_lost, {});
+  }
 
   /** Returns runs of long-running tasks that have been ready for long enough
    * that a later loss of their worker is not caused by their start. */
-  std::vector<jobs::SettleRun> FindSettled(const jobs::Book& aBook,
-                                           TimePoint aNow) const;
+  std::vector<jobs::MarkRunStable> FindStableRuns(const jobs::JobTable& aBook,
+                                                  TimePoint aNow) const;
 
   /** Sets the workers that are about to leave; their loss implies nothing
    * about their tasks. */
-  void SetCordoned(std::set<WorkerLife> aWorkers)
+  void SetCordoned(std::set<WorkerIncarnation> aWorkers)
   {
     m_cordoned = std::move(aWorkers);
   }
 
   /** Returns runs without progress whose worker keeps reporting. Each counts
    * as a failure of the worker. */
-  std::vector<StopOrder> FindStuck(const jobs::Book& aBook, TimePoint aNow);
+  std::vector<StopOrder> FindStuckRuns(const jobs::JobTable& aBook,
+                                       TimePoint aNow);
 
   /** Called when the platform has accepted an order that ends the incarnation
    * on an instance. The addressed worker has ended, and so have other
    * incarnations on the instance that first reported before
    * aFirstReportBefore. */
-  std::vector<jobs::EndRun> RetireInstance(const WorkerLife& aWorker,
+  std::vector<jobs::EndRun> RetireInstance(const WorkerIncarnation& aWorker,
                                            TimePoint aFirstReportBefore,
-                                           const jobs::Book& aBook,
+                                           const jobs::JobTable& aBook,
                                            WallTime aWall);
 
   /** Called when the worker has certainly ended. Its reports are ignored from
    * then on. */
-  std::vector<jobs::EndRun> Retire(const WorkerLife& aWorker,
-                                   const jobs::Book& aBook,
+  std::vector<jobs::EndRun> Retire(const WorkerIncarnation& aWorker,
+                                   const jobs::JobTable& aBook,
                                    WallTime aWall);
 
   /** Returns the answer to a worker that first has to prove that it is the
    * current incarnation. It asks for another report and grants neither a lease
    * nor work. */
-  Orders AnswerUnproven() const;
+  Orders AnswerUnconfirmed() const;
   /** Returns the answer to a worker's last report and grants a new lease. */
-  Orders Answer(const WorkerLife& aWorker,
-                const jobs::Book& aBook,
+  Orders Answer(const WorkerIncarnation& aWorker,
+                const jobs::JobTable& aBook,
                 TimePoint aNow);
 
   /** The worker runs only long-running tasks, and nothing is under way to it
    * or from it: its report need not be answered at once. */
-  bool IsQuiet(const WorkerLife& aWorker, const jobs::Book& aBook) const;
+  bool IsSteady(const WorkerIncarnation& aWorker,
+                const jobs::JobTable& aBook) const;
 
   /** Whether enough tasks of a long-running step stay ready when this one is
    * stopped. */
@@ -346,26 +352,31 @@
 
   void RequestStop(const jobs::TaskRef& aTask, RunNumber aRun);
   /** Multiplies the report intervals that answers ask for. */
-  void StretchReports(int aTimes) { m_reportIntervalFactor = aTimes; }
+  void SetReportIntervalFactor(int aTimes) { m_reportIntervalFactor = aTimes; }
 
-  const std::map<WorkerLife, Worker>& Workers() const { return m_workers; }
-  const Worker* Find(const WorkerLife& aWorker) const;
+  const std::map<WorkerIncarnation, Worker>& Workers() const
+  {
+    return m_workers;
+  }
+  const Worker* Find(const WorkerIncarnation& aWorker) const;
   /** Returns the incarnation with this id if exactly one is known. */
-  std::optional<WorkerLife> FindOnlyLife(const WorkerId& aWorker) const;
+  std::optional<WorkerIncarnation> FindOnlyIncarnation(
+    const WorkerId& aWorker) const;
   const Worker* FindByInstance(const InstanceId& aInstance) const;
   /** Incarnations on the instance that are not known to have ended. */
-  const std::vector<WorkerLife>& LivesOf(const InstanceId& aInstance) const;
+  const std::vector<WorkerIncarnation>& IncarnationsOf(
+    const InstanceId& aInstance) const;
   /** Two incarnations on the instance may be running, so that it is unknown
    * which of them an order would end. */
-  bool IsContested(const InstanceId& aInstance) const;
+  bool IsAmbiguous(const InstanceId& aInstance) const;
   /** The worker has not reported for so long that it may be lost. */
-  bool IsInDoubt(const Worker& aWorker, TimePoint aNow) const
+  bool IsUnresponsive(const Worker& aWorker, TimePoint aNow) const
   {
-    return aNow >= aWorker.m_heardAt + m_options.m_unresponsiveAfter;
+    return aNow >= aWorker.m_lastReportAt + m_options.m_unresponsiveAfter;
   }
   /** Another incarnation on its instance first reported after the worker's
    * last report. */
-  bool HasLaterLife(const Worker& aWorker) const;
+  bool HasLaterIncarnation(const Worker& aWorker) const;
   /** Returns the run if its worker's last report shows it, or null. */
   const RunReport* FindRun(const jobs::TaskRef& aTask,
                            const jobs::Task& aState) const;
@@ -391,7 +402,7 @@
   /** The incarnation that currently has a host, as far as is known. */
   struct CurrentIncarnation
   {
-    WorkerLife m_incarnation;
+    WorkerIncarnation m_incarnation;
     /** Since when incarnations on the host have been tracked. */
     TimePoint m_trackedSince;
   };
@@ -409,7 +420,7 @@
    * current one. */
   struct Admission
   {
-    std::optional<Ignored> m_ignored;
+    std::optional<IgnoreReason> m_ignored;
     /** Inherited from the incarnation that it supersedes. */
     HealthRecord m_health;
   };
@@ -419,101 +430,102 @@
                TimePoint aNow) const;
   Duration MaxLeaseDuration() const;
   Admission Admit(const WorkerReport& aReport,
-                  const jobs::Book& aBook,
+                  const jobs::JobTable& aBook,
                   TimePoint aNow,
                   WallTime aWall,
-                  Heard& aResult);
+                  ReportResult& aResult);
   CurrentIncarnation& FindCurrent(const WorkerReport& aReport,
-                                  const jobs::Book& aBook,
+                                  const jobs::JobTable& aBook,
                                   TimePoint aNow);
   bool IsSuccessor(const WorkerReport& aReport,
                    const CurrentIncarnation& aCurrent,
                    TimePoint aNow);
-  HealthRecord Supersede(WorkerLife aPrevious,
+  HealthRecord Supersede(WorkerIncarnation aPrevious,
                          const WorkerReport& aReport,
-                         const jobs::Book& aBook,
+                         const jobs::JobTable& aBook,
                          TimePoint aNow,
                          WallTime aWall,
-                         Heard& aResult);
+                         ReportResult& aResult);
   void ForgetCandidates(TimePoint aNow);
-  void Forget(const WorkerLife& aWorker);
-  bool HasEnded(const WorkerLife& aWorker) const
+  void Forget(const WorkerIncarnation& aWorker);
+  bool HasEnded(const WorkerIncarnation& aWorker) const
   {
     return m_retired.Contains(aWorker) || m_superseded.Contains(aWorker);
   }
   void TrackInstance(Worker& aWorker,
                      const WorkerReport& aReport,
-                     const jobs::Book& aBook,
+                     const jobs::JobTable& aBook,
                      TimePoint aNow,
                      WallTime aWall,
-                     Heard& aResult);
+                     ReportResult& aResult);
   void TrackProgress(Worker& aWorker, TimePoint aNow);
   void AcceptEnds(Worker& aWorker,
                   const WorkerReport& aReport,
-                  const jobs::Book& aBook,
+                  const jobs::JobTable& aBook,
                   TimePoint aNow,
                   WallTime aWall,
-                  Heard& aResult);
+                  ReportResult& aResult);
   void EndLostStarts(Worker& aWorker,
-                     const jobs::Book& aBook,
+                     const jobs::JobTable& aBook,
                      TimePoint aNow,
                      WallTime aWall,
-                     Heard& aResult);
+                     ReportResult& aResult);
   void CountOutcome(Worker& aWorker, jobs::RunEnd aEnd, TimePoint aNow);
-  std::vector<jobs::EndRun> EndAllRuns(const WorkerLife& aWorker,
+  std::vector<jobs::EndRun> EndAllRuns(const WorkerIncarnation& aWorker,
                                        const InstanceId& aInstance,
-                                       const jobs::Book& aBook,
+                                       const jobs::JobTable& aBook,
                                        WallTime aWall);
-  void CountActive(Worker& aWorker, const jobs::Book& aBook) const;
+  void CountActive(Worker& aWorker, const jobs::JobTable& aBook) const;
   std::vector<PendingStart> FindPending(const Worker& aWorker,
-                                        const jobs::Book& aBook) const;
+                                        const jobs::JobTable& aBook) const;
   /** aUnconfirmed: the unconfirmed starts of the same worker. */
   static bool IsIsolatedRun(const jobs::TaskRef& aTask,
                             const std::vector<jobs::TaskRef>& aUnconfirmed,
-                            const jobs::Book& aBook);
-  bool HasIsolatedRun(const Worker& aWorker, const jobs::Book& aBook) const;
+                            const jobs::JobTable& aBook);
+  bool HasIsolatedRun(const Worker& aWorker, const jobs::JobTable& aBook) const;
   jobs::CrashEvidence AssessEvidence(
     const jobs::TaskRef& aTask,
     const Worker& aWorker,
     const LostWorker& aLost,
     const std::vector<jobs::TaskRef>& aUnconfirmed,
-    const jobs::Book& aBook) const;
+    const jobs::JobTable& aBook) const;
   jobs::CrashEvidence EvidenceOf(const jobs::TaskRef& aTask,
-                                 const WorkerLife& aWorker,
-                                 const jobs::Book& aBook) const;
+                                 const WorkerIncarnation& aWorker,
+                                 const jobs::JobTable& aBook) const;
   /** Returns starts that were sent and that no report has shown. */
   std::vector<jobs::TaskRef> FindUnconfirmed(const Worker& aWorker,
-                                             const jobs::Book& aBook) const;
+                                             const jobs::JobTable& aBook) const;
   std::size_t CountConcurrentLosses(const Worker& aWorker,
-                                    const jobs::Book& aBook,
+                                    const jobs::JobTable& aBook,
                                     TimePoint aNow) const;
   /** Records how the worker was lost, before it is removed from the table. */
   void RecordLoss(Worker& aWorker,
                   LossCause aCause,
-                  const jobs::Book& aBook,
+                  const jobs::JobTable& aBook,
                   TimePoint aNow);
   Duration BaseReportInterval(const Worker& aWorker,
-                              const jobs::Book& aBook) const;
-  Duration ReportInterval(const Worker& aWorker, const jobs::Book& aBook) const;
-  void AddRates(Worker& aWorker, const jobs::Book& aBook, Orders& aOrders);
+                              const jobs::JobTable& aBook) const;
+  Duration ReportInterval(const Worker& aWorker,
+                          const jobs::JobTable& aBook) const;
+  void AddRates(Worker& aWorker, const jobs::JobTable& aBook, Orders& aOrders);
 
   LeaseOptions m_options;
   int m_reportIntervalFactor = 1;
   TimePoint m_leaderSince;
-  std::map<WorkerLife, Worker> m_workers;
+  std::map<WorkerIncarnation, Worker> m_workers;
   std::map<Host, CurrentIncarnation> m_currentIncarnations;
-  std::map<Host, std::map<WorkerLife, Candidate>> m_candidates;
+  std::map<Host, std::map<WorkerIncarnation, Candidate>> m_candidates;
   /** Incarnations with runs in the state, until a worker with their id
    * reports. */
-  std::optional<std::map<WorkerId, WorkerLife>> m_recordedIncarnations;
-  std::map<InstanceId, std::vector<WorkerLife>> m_incarnations;
+  std::optional<std::map<WorkerId, WorkerIncarnation>> m_recordedIncarnations;
+  std::map<InstanceId, std::vector<WorkerIncarnation>> m_incarnations;
   /** Incarnations that have certainly ended. */
   EndedIncarnations m_retired;
   /** Incarnations followed by another one, as far as reports can prove it. */
   EndedIncarnations m_superseded;
-  std::set<WorkerLife> m_cordoned;
+  std::set<WorkerIncarnation> m_cordoned;
   /** Workers with accepted ends that are not on a receipt yet. */
-  std::set<WorkerLife> m_withoutReceipt;
+  std::set<WorkerIncarnation> m_withoutReceipt;
   std::vector<LostWorker> m_lost;
   TimePoint m_lastLossAt;
   RecentLosses m_recentLosses;
@@ -522,16 +534,16 @@
 };
 
 /** The job table has the run on this incarnation of the worker. */
-bool IsPlaced(const jobs::Book& aBook,
-              const WorkerLife& aWorker,
+bool IsPlaced(const jobs::JobTable& aBook,
+              const WorkerIncarnation& aWorker,
               const jobs::TaskRef& aTask,
               RunNumber aRun);
 
 /** Whether a reported run is the one that the job table has on the worker.
  * Where the job table names no incarnation, the one that reports the run is
  * accepted. */
-bool IsExpected(const jobs::Book& aBook,
-                const WorkerLife& aWorker,
+bool IsExpected(const jobs::JobTable& aBook,
+                const WorkerIncarnation& aWorker,
                 const jobs::TaskRef& aTask,
                 RunNumber aRun);
 
--- a/include/bamboostile/request/engine.h
+++ b/include/bamboostile/request/engine.h
@@ -63,13 +63,13 @@
   Index Revision() const { return m_revision; }
   std::size_t Size() const { return m_requests.size(); }
   std::size_t QueuedCount() const;
-  const Counters& Count() const { return m_counters; }
+  const Counters& GetCounters() const { return m_counters; }
   const fleet::Config& CurrentConfig() const { return m_config; }
   bool HasLease(TimePoint aNow) const { return aNow < m_leaseUntil; }
   const fleet::Instance* Find(const InstanceId& aInstance) const;
 
   /** Attempts in flight per instance that takes no new work. */
-  std::vector<std::pair<InstanceId, std::uint32_t>> Leftovers() const;
+  std::vector<std::pair<InstanceId, std::uint32_t>> DrainingInFlight() const;
 
 private:
   enum class Phase
@@ -146,7 +146,7 @@
                      bool aWithAnswer);
   void Erase(LocalId aLocal);
   admission::Ticket TicketOf(LocalId aLocal, const Request& aRequest) const;
-  admission::Service LoadOf(ServiceState& aService, TimePoint aNow) const;
+  admission::ServiceLoad LoadOf(ServiceState& aService, TimePoint aNow) const;
   bool IsLeaseGracePeriodOver(TimePoint aNow) const;
 
   Options m_options;
--- a/include/bamboostile/request/types.h
+++ b/include/bamboostile/request/types.h
@@ -17,7 +17,7 @@
   ServiceId m_service;
   RequestId m_request;
   /** The caller chose the request id, so other entries may have copies. */
-  bool m_keyed = false;
+  bool m_hasCallerId = false;
   std::uint32_t m_attempt = 1;
   /** Set for safe methods such as GET, for PUT and DELETE, and for POST and
    * PATCH if the service declares them idempotent. */
@@ -53,48 +53,48 @@
   /** No byte of the request was sent, and none will be. */
   kNotSent,
   /** Bytes were sent, but no complete answer arrived. */
-  kBroken,
+  kIncomplete,
   kTimedOut,
 };
 
 struct AttemptResult
 {
-  AttemptEnd m_end = AttemptEnd::kBroken;
+  AttemptEnd m_end = AttemptEnd::kIncomplete;
   std::uint32_t m_status = 0;
   /** The answer states that the request was not run. */
   bool m_provesNotRun = false;
-  Duration m_took{};
+  Duration m_elapsed{};
 };
 
 // ------------------------------------------------------------------ actions
 
 /** Asks the control group for permission to run an attempt, or records a
  * refusal. The reply is passed to OnBegin. */
-struct AskBegin
+struct BeginAttempt
 {
   outcome::Begin m_begin;
   LocalId m_local;
-  Duration m_patience{};
+  Duration m_timeout{};
 };
 
 /** Queries the control group for the state of an attempt that another entry
  * holds. The reply is passed to OnBegin. */
-struct AskRecord
+struct QueryRecord
 {
   LocalId m_local;
   RequestId m_request;
-  Duration m_patience{};
+  Duration m_timeout{};
 };
 
 struct Dispatch
 {
   LocalId m_local;
-  std::uint32_t m_number = 0;
+  std::uint32_t m_attemptNumber = 0;
   routing::Pick m_upstream;
   Duration m_timeout{};
   /** The request is not idempotent: the transport must use no connection that
    * may be stale and must not retransmit. */
-  bool m_onlyOnce = false;
+  bool m_atMostOnce = false;
 };
 
 /** Relays the answer of the last attempt to the caller. */
@@ -128,7 +128,7 @@
   kDigestMismatch,
   kAttemptNotAllowed,
   kNotSent,
-  kBroken,
+  kIncomplete,
   kTimedOut,
 };
 
@@ -147,6 +147,6 @@
 };
 
 using Action =
-  std::variant<AskBegin, AskRecord, Dispatch, Relay, Resolve, Conclude>;
+  std::variant<BeginAttempt, QueryRecord, Dispatch, Relay, Resolve, Conclude>;
 
 } // namespace bamboostile::request
--- a/include/bamboostile/routing/router.h
+++ b/include/bamboostile/routing/router.h
@@ -34,9 +34,9 @@
 /** Result of an attempt at an upstream, as seen by routing. */
 enum class Verdict
 {
-  kGood,
+  kSuccess,
   /** Connection refused or reset, answer truncated, or a 5xx status. */
-  kBad,
+  kFailure,
   kTimedOut,
   /** Cancelled by this entry; not counted for or against the upstream. */
   kAbandoned,
@@ -86,13 +86,16 @@
   std::uint32_t Capacity(TimePoint aNow);
   std::uint32_t InFlight() const { return m_inFlight; }
   bool HasUpstreams() const { return m_routable > 0; }
-  Duration MeanTime() const { return m_meanTime; }
+  Duration MeanServiceTime() const { return m_meanTime; }
   /** Mean service time plus two mean deviations; most requests take no longer.
    */
-  Duration UsualTime() const { return m_meanTime + 2 * m_meanDeviation; }
+  Duration MaxUsualServiceTime() const
+  {
+    return m_meanTime + 2 * m_meanDeviation;
+  }
   std::size_t EjectedCount(TimePoint aNow) const;
   /** Attempts in flight per upstream that takes no new work. */
-  std::vector<std::pair<InstanceId, std::uint32_t>> Leftovers() const;
+  std::vector<std::pair<InstanceId, std::uint32_t>> DrainingInFlight() const;
 
 private:
   struct Upstream
--- a/include/bamboostile/rpc/channel.h
+++ b/include/bamboostile/rpc/channel.h
@@ -29,7 +29,7 @@
    * established. Requests on a connection that was never established have not
    * left this process. */
   std::shared_ptr<const bool> IsConnected() const { return m_isConnected; }
-  void Drop();
+  void Disconnect();
   const std::string& Address() const { return m_address; }
 
 private:
--- a/include/bamboostile/settings/settings.h
+++ b/include/bamboostile/settings/settings.h
@@ -61,11 +61,11 @@
    * replicas together. */
   double m_ordersPerSecond = 64;
   /** Minimum time between orders of two leaders for one instance. */
-  Millis m_betweenLeaders{ 3000 };
+  Millis m_handoverDelay{ 3000 };
   /** Time the platform needs to move an instance to another pool. */
-  Millis m_moveTakes{ 1500 };
+  Millis m_moveDuration{ 1500 };
   /** Time for which maintenance by the platform keeps an instance down. */
-  Millis m_maintenanceTakes{ 2000 };
+  Millis m_expectedDowntime{ 2000 };
 };
 
 struct Settings;
@@ -96,7 +96,7 @@
 
 /** Describes an invalid settings file: the field, its value and the allowed
  * values. */
-struct Problem
+struct ValidationError
 {
   std::string m_file;
   std::string m_field;
@@ -104,15 +104,15 @@
   std::string m_allowed;
 };
 
-std::string ToText(const Problem& aError);
+std::string ToText(const ValidationError& aError);
 
 /** Reads a file and validates it against the JSON Schema, then for consistency.
  */
-std::optional<Settings> Load(const std::string& aFile, Problem& aError);
+std::optional<Settings> Load(const std::string& aFile, ValidationError& aError);
 
 /** Validates settings text like Load(); aFile is only used in messages. */
 std::optional<Settings> Parse(const std::string& aText,
                               const std::string& aFile,
-                              Problem& aError);
+                              ValidationError& aError);
 
 } // namespace bamboostile::settings
--- a/include/bamboostile/storage/log_store.h
+++ b/include/bamboostile/storage/log_store.h
@@ -40,7 +40,7 @@
 
 /** Returns true if the same write may be retried: any part of it that reached
  * the disk has been removed. */
-bool MayPass(const Failure& aFailure) noexcept;
+bool IsRetryable(const Failure& aFailure) noexcept;
 
 /** The system calls that can fail; tests replace them. */
 struct FileCalls
@@ -61,13 +61,13 @@
   std::uint64_t m_bytes = 0;
 };
 
-struct Opened
+struct OpenResult
 {
   consensus::ReplicaId m_self;
   /** The folder was empty: this replica has a new incarnation. */
-  bool m_fresh = false;
+  bool m_isNew = false;
   consensus::RecoveredState m_recovered;
-  std::optional<TruncatedTail> m_cut;
+  std::optional<TruncatedTail> m_truncatedTail;
 };
 
 /**
@@ -85,7 +85,7 @@
 public:
   static std::unique_ptr<LogStore> Open(const std::filesystem::path& aFolder,
                                         const InstanceId& aInstance,
-                                        Opened& aOpened,
+                                        OpenResult& aOpened,
                                         Failure& aFailure,
                                         FileCalls aCalls = FileCalls::Posix());
   ~LogStore();
@@ -104,12 +104,12 @@
   bool Lock(Failure& aFailure);
   bool FindGeneration(Failure& aFailure);
   bool ReadIdentity(const InstanceId& aInstance,
-                    Opened& aOpened,
+                    OpenResult& aOpened,
                     Failure& aFailure);
   bool CreateIdentity(const InstanceId& aInstance,
-                      Opened& aOpened,
+                      OpenResult& aOpened,
                       Failure& aFailure);
-  bool ReadLog(Opened& aOpened, Failure& aFailure);
+  bool ReadLog(OpenResult& aOpened, Failure& aFailure);
   bool OpenLog(Failure& aFailure);
   bool Append(const std::string& aFrame, Failure& aFailure);
   bool ReplaceLog(const consensus::Persist& aPersist, Failure& aFailure);
--- a/include/bamboostile/telemetry/log_limit.h
+++ b/include/bamboostile/telemetry/log_limit.h
@@ -12,10 +12,10 @@
  * @brief Admits one line of a kind per interval and counts the suppressed ones,
  * so that messages from another process cannot flood the log.
  */
-class LogLimit
+class LogRateLimiter
 {
 public:
-  explicit LogLimit(Duration aInterval)
+  explicit LogRateLimiter(Duration aInterval)
     : m_interval(aInterval)
   {
   }
--- a/include/bamboostile/telemetry/trace.h
+++ b/include/bamboostile/telemetry/trace.h
@@ -49,7 +49,7 @@
 
 /** Starts a child span of a context received from another process, or a new
  * trace if that context is invalid. */
-std::unique_ptr<opentracing::Span> StartSpanBelow(opentracing::Tracer& aTracer,
+std::unique_ptr<opentracing::Span> StartChildSpan(opentracing::Tracer& aTracer,
                                                   const std::string& aName,
                                                   const TraceContext& aParent);
 
--- a/include/bamboostile/waves/planner.h
+++ b/include/bamboostile/waves/planner.h
@@ -41,7 +41,7 @@
 Preview PreviewWave(const fleet::State& aState, const PoolId& aPool);
 
 /** The leader's observations that are not part of the replicated state. */
-struct Observed
+struct Observations
 {
   /** Whether no entry routes to the instance and it has no request left. */
   std::function<bool(const fleet::Instance&)> m_isEmpty;
@@ -54,9 +54,9 @@
  * so a command proposed twice, or by two leaders, takes effect once.
  */
 std::vector<fleet::Command> NextSteps(const fleet::State& aState,
-                                      const Observed& aObserved);
+                                      const Observations& aObserved);
 
 /** Returns the instances that the platform is to restart. */
-std::vector<const fleet::Instance*> Released(const fleet::State& aState);
+std::vector<const fleet::Instance*> AwaitingRestart(const fleet::State& aState);
 
 } // namespace bamboostile::waves
--- a/src/admission/queue.cpp
+++ b/src/admission/queue.cpp
@@ -48,7 +48,7 @@
 }
 
 Duration
-Queue::EstimateWait(const Ticket& aTicket, const Service& aService) const
+Queue::EstimateWait(const Ticket& aTicket, const ServiceLoad& aService) const
 {
   // All requests of the same class count as ahead, even those with a later
   // deadline, because requests with earlier deadlines will still arrive. An
@@ -62,12 +62,12 @@
       (ahead == 0 && aService.m_inFlight < aService.m_capacity)) {
     return Duration::zero();
   }
-  return aService.m_meanTime * static_cast<Duration::rep>(ahead + 1) /
+  return aService.m_meanServiceTime * static_cast<Duration::rep>(ahead + 1) /
          static_cast<Duration::rep>(aService.m_capacity);
 }
 
 std::vector<Ticket>
-Queue::TakeLate(Duration aMinimalTime, TimePoint aNow)
+Queue::TakeExpired(Duration aMinimalTime, TimePoint aNow)
 {
   std::vector<Ticket> late;
   for (std::set<Ticket>& waiting : m_classes) {
--- a/src/consensus/elections.cpp
+++ b/src/consensus/elections.cpp
@@ -30,8 +30,8 @@
 void
 Replica::ResetElectionDeadline(TimePoint aNow)
 {
-  m_electionDeadline =
-    aNow + m_options.m_electionMin + RandomUpTo(m_options.m_electionSpread);
+  m_electionDeadline = aNow + m_options.m_minElectionTimeout +
+                       RandomUpTo(m_options.m_electionJitter);
 }
 
 void
@@ -55,7 +55,7 @@
 {
   if (m_role == Role::kLeader) {
     const Duration timeout =
-      m_options.m_electionMin + m_options.m_electionSpread;
+      m_options.m_minElectionTimeout + m_options.m_electionJitter;
     const TimePoint lastContact =
       std::max(LastQuorumContact(aNow), m_becameLeaderAt);
     // Without contact to a quorum another leader may have been elected. Staying
@@ -252,7 +252,7 @@
   const bool isLeaderAlive =
     m_role == Role::kLeader
       ? HoldsLease(aNow)
-      : aNow < m_lastLeaderContactAt + m_options.m_electionMin;
+      : aNow < m_lastLeaderContactAt + m_options.m_minElectionTimeout;
   if (aTerm < m_hardState.m_term) {
     SendWhenSynced(aFrom, VoteReply{ aVote.m_preVote, false });
     return;
@@ -312,7 +312,8 @@
     return;
   }
   m_noLeaderReplies[aFrom] = m_hardState.m_term;
-  const bool granted = aNow >= m_lastLeaderContactAt + m_options.m_electionMin;
+  const bool granted =
+    aNow >= m_lastLeaderContactAt + m_options.m_minElectionTimeout;
   SendWhenSynced(aFrom, VoteReply{ true, granted, true });
 }
 
--- a/src/consensus/membership_policy.cpp
+++ b/src/consensus/membership_policy.cpp
@@ -18,8 +18,8 @@
   }
   const bool isSizeStable =
     aNow >= m_sizeChangedAt + m_options.m_sizeStableAfter &&
-    aMembership.VoterCount() == size && size >= m_options.m_leastVoters;
-  return aMembership.VoterCount() >= m_options.m_voters || isSizeStable;
+    aMembership.VoterCount() == size && size >= m_options.m_minVoters;
+  return aMembership.VoterCount() >= m_options.m_targetVoters || isSizeStable;
 }
 
 bool
@@ -53,7 +53,7 @@
       unresponsive = member;
     }
   }
-  const bool hasSurplus = aMembership.VoterCount() > m_options.m_voters;
+  const bool hasSurplus = aMembership.VoterCount() > m_options.m_targetVoters;
   return hasSpare || hasSurplus ? unresponsive : std::nullopt;
 }
 
--- a/src/consensus/replica.cpp
+++ b/src/consensus/replica.cpp
@@ -117,7 +117,7 @@
 }
 
 Index
-Replica::MatchOf(const ReplicaId& aId) const
+Replica::MatchIndexOf(const ReplicaId& aId) const
 {
   if (aId == m_self) {
     return m_persistedIndex;
@@ -169,7 +169,7 @@
     return false;
   }
   const Duration lease =
-    m_options.m_electionMin * (100 - m_options.m_driftPercent) / 100;
+    m_options.m_minElectionTimeout * (100 - m_options.m_driftPercent) / 100;
   return aNow < LastQuorumContact(aNow) + lease;
 }
 
@@ -202,7 +202,7 @@
 Replica::SendAppends(TimePoint aNow, bool aHeartbeat)
 {
   if (aHeartbeat) {
-    m_nextHeartbeat = aNow + m_options.m_heartbeat;
+    m_nextHeartbeat = aNow + m_options.m_heartbeatInterval;
   }
   for (const Member& member : CurrentMembership().m_members) {
     if (member.m_id != m_self) {
@@ -401,7 +401,7 @@
   for (const Member& member : CurrentMembership().m_members) {
     if (member.m_voter) {
       const bool counted = !m_regressed.contains(member.m_id);
-      matches.push_back(counted ? MatchOf(member.m_id) : Index{});
+      matches.push_back(counted ? MatchIndexOf(member.m_id) : Index{});
     }
   }
   if (matches.empty()) {
@@ -497,7 +497,7 @@
     return;
   }
   for (const Member& member : CurrentMembership().m_members) {
-    if (member.m_voter || MatchOf(member.m_id) < m_commit) {
+    if (member.m_voter || MatchIndexOf(member.m_id) < m_commit) {
       continue;
     }
     Membership changed = CurrentMembership();
--- a/src/control/disk_thread.cpp
+++ b/src/control/disk_thread.cpp
@@ -98,11 +98,11 @@
       m_reports.Put(DiskReport{ aPersist.m_ticket, std::nullopt });
       return true;
     }
-    if (!isReported || !storage::MayPass(failure)) {
+    if (!isReported || !storage::IsRetryable(failure)) {
       m_reports.Put(DiskReport{ 0, failure });
     }
     isReported = true;
-    if (!storage::MayPass(failure) || WaitForStop(kRetryInterval)) {
+    if (!storage::IsRetryable(failure) || WaitForStop(kRetryInterval)) {
       return false;
     }
   }
--- a/src/control/instance_service.cpp
+++ b/src/control/instance_service.cpp
@@ -37,7 +37,7 @@
   , m_movesEnabled(aCapacity.m_mechanisms.Has(placement::Mechanism::kMoves))
   , m_maintenance(aMaintenance)
   , m_capacity(aCapacity)
-  , m_orderRecord(aCapacity.m_betweenLeaders)
+  , m_orderRecord(aCapacity.m_handoverDelay)
   , m_tasks(*this)
 {
   m_orderRecord.Inherit(m_node.State().RecentOrders(), MonotonicNow());
@@ -75,7 +75,7 @@
 
 void
 InstanceService::Tick(const placement::WorkerTable& aWorkers,
-                      const placement::Durations& aDurations,
+                      const placement::DurationEstimator& aDurations,
                       bool aOrdersAllowed,
                       TimePoint aNow,
                       WallTime aWall)
@@ -107,11 +107,11 @@
     // The remaining orders stay planned and are checked again before they are
     // sent.
     if (!aOrdersAllowed ||
-        m_pendingMaintenance.size() >= placement::kMostOrdersUnderWay) {
+        m_pendingMaintenance.size() >= placement::kMaxUnansweredOrders) {
       break;
     }
     if (m_pendingMaintenance.emplace(order.m_wave, order.m_instance).second) {
-      m_capacity.OnOtherOrders(1);
+      m_capacity.OnMaintenanceOrders(1);
       m_orderRecord.OnOrdered(order.m_instance);
       m_calls.m_maintenance(
         order, m_term, [answers = m_answers, order, aNow](const auto& aAnswer) {
@@ -173,8 +173,8 @@
   }
   const placement::MaintenanceResult next = m_maintenance.OnAnswer(
     aReply.m_order, aReply.m_answer.m_answer, MonotonicNow());
-  if (next.m_ended) {
-    m_onEnded(*next.m_ended, aReply.m_decidedAt);
+  if (next.m_endedIncarnation) {
+    m_onEnded(*next.m_endedIncarnation, aReply.m_decidedAt);
   }
   // The plan would repeat the order until the change caused by the answer is
   // committed.
@@ -187,7 +187,7 @@
 
 void
 InstanceService::PlanMoves(const placement::WorkerTable& aWorkers,
-                           const placement::Durations& aDurations,
+                           const placement::DurationEstimator& aDurations,
                            TimePoint aNow,
                            WallTime aWall)
 {
@@ -202,7 +202,7 @@
                                                        aNow,
                                                        aWall);
   m_cordoned.insert(plan.m_cordoned.begin(), plan.m_cordoned.end());
-  LogCapacity(plan.m_needs, aNow);
+  LogCapacity(plan.m_pools, aNow);
   for (const placement::MoveOrder& order : plan.m_orders) {
     LogLine(Level::kInfo, "moving an instance")
       .With("ofInstance", order.m_instance.Get())
@@ -224,7 +224,7 @@
     record.m_ordered.push_back(order.m_instance);
     m_orderRecord.OnOrdered(order.m_instance);
   }
-  record.m_settled = m_orderRecord.TakeSettled(aDecidedAt);
+  record.m_settled = m_orderRecord.TakeExpired(aDecidedAt);
   if (record.m_ordered.empty() && record.m_settled.empty()) {
     return;
   }
@@ -260,18 +260,18 @@
 }
 
 void
-InstanceService::LogCapacity(const std::vector<placement::PoolNeed>& aPools,
+InstanceService::LogCapacity(const std::vector<placement::PoolCapacity>& aPools,
                              TimePoint aNow)
 {
   if (aNow < m_nextCapacityLog) {
     return;
   }
   m_nextCapacityLog = aNow + kCapacityLogInterval;
-  for (const placement::PoolNeed& pool : aPools) {
+  for (const placement::PoolCapacity& pool : aPools) {
     LogLine(Level::kInfo, "capacity of a pool")
       .With("service", pool.m_service.Get())
-      .With("have", pool.m_have)
-      .With("want", pool.m_want)
+      .With("have", pool.m_actual)
+      .With("want", pool.m_desired)
       .With("workCoreSeconds", pool.m_workCoreSeconds)
       .With("cores", pool.m_cores)
       .With("usedCores", pool.m_usedCores)
@@ -301,7 +301,7 @@
               .With("to", aReply.m_order.m_to.Get()),
             aReply.m_answer,
             aReply.m_decidedAt);
-  if (aReply.m_answer.m_answer != placement::InstanceAnswer::kTaken) {
+  if (aReply.m_answer.m_answer != placement::InstanceAnswer::kAccepted) {
     m_nextList = TimePoint{};
   }
   if (!m_node.IsServing()) {
@@ -318,12 +318,12 @@
 InstanceService::RequestList(const placement::MaintenancePlan& aMaintenance,
                              TimePoint aNow)
 {
-  if (aMaintenance.m_wantsList) {
+  if (aMaintenance.m_needsInstanceList) {
     m_nextList =
       std::min<TimePoint>(m_nextList, m_listRequestedAt + kUrgentListInterval);
   }
-  const bool isNeeded =
-    aMaintenance.m_isOpen || m_node.State().Routes().StandbyPool() != nullptr;
+  const bool isNeeded = aMaintenance.m_hasOpenWave ||
+                        m_node.State().Routes().StandbyPool() != nullptr;
   if (!m_calls.m_list || m_isListPending || aNow < m_nextList || !isNeeded) {
     return;
   }
--- a/src/control/job_service.cpp
+++ b/src/control/job_service.cpp
@@ -92,7 +92,7 @@
       m_options.m_capacity,
       term,
       m_latencies,
-      [this](const WorkerLife& aWorker, TimePoint aOrderedAt) {
+      [this](const WorkerIncarnation& aWorker, TimePoint aOrderedAt) {
         OnOrderAccepted(aWorker, aOrderedAt);
       });
     m_queuedChanges.clear();
@@ -115,7 +115,7 @@
 JobService::StopStuckRuns(TimePoint aNow)
 {
   for (const placement::StopOrder& stop :
-       m_workers->FindStuck(m_node.State().Jobs(), aNow)) {
+       m_workers->FindStuckRuns(m_node.State().Jobs(), aNow)) {
     LogLine(Level::kWarning, "stopping a stuck run")
       .With("job", stop.m_task.m_job.Get())
       .With("step", stop.m_task.m_step)
@@ -126,7 +126,7 @@
 }
 
 void
-JobService::OnIncarnationEnded(const WorkerLife& aWorker)
+JobService::OnIncarnationEnded(const WorkerIncarnation& aWorker)
 {
   QueueEnds(m_workers->Retire(aWorker, m_node.State().Jobs(), WallNow()));
   m_needsPlan = true;
@@ -134,7 +134,8 @@
 }
 
 void
-JobService::OnOrderAccepted(const WorkerLife& aWorker, TimePoint aOrderedAt)
+JobService::OnOrderAccepted(const WorkerIncarnation& aWorker,
+                            TimePoint aOrderedAt)
 {
   QueueEnds(m_workers->RetireInstance(aWorker,
                                       aOrderedAt + kMinInstanceDowntime,
@@ -147,49 +148,49 @@
 std::string
 JobService::RenderMetrics()
 {
-  const jobs::Book& jobTable = m_node.State().Jobs();
+  const jobs::JobTable& jobTable = m_node.State().Jobs();
   m_metrics.Set("leader", EnsureLeading() ? 1 : 0);
   m_metrics.Set("term",
                 static_cast<double>(m_node.Replica().CurrentTerm().Get()));
   m_metrics.Set("routes_version",
                 static_cast<double>(m_node.State().Routes().m_version));
-  m_metrics.Set("jobs_open", static_cast<double>(jobTable.Open().size()));
+  m_metrics.Set("jobs_open", static_cast<double>(jobTable.OpenJobs().size()));
   m_metrics.Set("tasks_lost_with_workers",
-                static_cast<double>(jobTable.LostWithWorkers().size()));
+                static_cast<double>(jobTable.TasksWithLosses().size()));
   m_metrics.Set("workers_with_runs",
-                static_cast<double>(jobTable.Placed().size()));
+                static_cast<double>(jobTable.TasksByWorker().size()));
   return m_metrics.Render();
 }
 
 void
 JobService::QueueEnds(std::vector<jobs::EndRun> aEnds)
 {
-  for (const placement::LostWorker& lost : m_workers->TakeLost()) {
+  for (const placement::LostWorker& lost : m_workers->TakeLostWorkers()) {
     m_metrics.Count(std::string{ "workers_lost_total{cause=\"" } +
                     placement::Describe(lost.m_cause) + "\"}");
     WorkerLogLine(Level::kWarning, "worker lost", lost.m_worker)
       .With("ofInstance", lost.m_instance.Get())
       .With("cause", placement::Describe(lost.m_cause))
-      .With("silentMs", ToMillis(lost.m_silentFor).count())
+      .With("silentMs", ToMillis(lost.m_unresponsiveFor).count())
       .With("runs", lost.m_runs)
-      .With("starting", lost.m_starting)
-      .With("lostBeside", lost.m_lostBeside)
+      .With("starting", lost.m_unconfirmedStarts)
+      .With("lostBeside", lost.m_concurrentLosses)
       .Write();
   }
   for (jobs::EndRun& end : aEnds) {
     m_metrics.Count(std::string{ "runs_ended_total{how=\"" } +
-                    jobs::Describe(end.m_how) + "\"}");
+                    jobs::Describe(end.m_endReason) + "\"}");
     const jobs::Task* task = m_node.State().Jobs().FindTask(end.m_task);
-    if (end.m_how != jobs::RunEnd::kDone || end.m_isLate) {
+    if (end.m_endReason != jobs::RunEnd::kDone || end.m_isLate) {
       WorkerLogLine(Level::kInfo,
                     "run ended",
-                    task == nullptr ? WorkerLife{} : task->m_worker)
+                    task == nullptr ? WorkerIncarnation{} : task->m_worker)
         .With("job", end.m_task.m_job.Get())
         .With("occurrence", end.m_task.m_occurrence)
         .With("step", end.m_task.m_step)
         .With("task", end.m_task.m_index)
         .With("run", end.m_run.Get())
-        .With("how", jobs::Describe(end.m_how))
+        .With("how", jobs::Describe(end.m_endReason))
         .With("late", end.m_isLate)
         .With("evidence", jobs::Describe(end.m_evidence))
         .Write();
@@ -266,7 +267,7 @@
   for (PendingReport& report : m_pendingReports) {
     report.m_isPlanned = report.m_isPlanned || report.m_endsInBatch;
   }
-  placement::Plan plan = m_planner.Next(
+  placement::Plan plan = m_planner.ComputePlan(
     m_node.State(), *m_workers, m_instances->Cordoned(), aNow, WallNow());
   for (const placement::StopOrder& stop : plan.m_stops) {
     LogLine(Level::kInfo, "moving a long-running task")
@@ -281,7 +282,7 @@
     plan.m_changes.begin(), plan.m_changes.end(), std::back_inserter(aChanges));
   const TimePoint ended = MonotonicNow();
   m_latencies.Observe(Stage::kPlanPass, ended - aNow);
-  m_pacer.OnPlanned(aNow, ended, m_sheddingLevel);
+  m_pacer.OnPassEnded(aNow, ended, m_sheddingLevel);
 }
 
 // Called only between batches, as a batch in progress may contain the same
@@ -295,7 +296,8 @@
     return;
   }
   m_nextLostCheck = aNow + kLostCheckInterval;
-  auto lost = m_workers->FindLost(m_node.State().Jobs(), aNow, WallNow());
+  auto lost =
+    m_workers->CollectLostRuns(m_node.State().Jobs(), aNow, WallNow());
   if (lost.empty()) {
     return;
   }
@@ -319,7 +321,7 @@
   m_nextInstanceTick = aNow + kInstanceTickInterval;
   m_instances->Tick(*m_workers,
                     m_planner.EstimatedDurations(),
-                    m_sheddingLevel == placement::Shedding::kNothing,
+                    m_sheddingLevel == placement::SheddingLevel::kNone,
                     aNow,
                     WallNow());
   m_workers->SetCordoned(m_instances->Cordoned());
@@ -350,7 +352,7 @@
           .With("changes", changes.size())
           .Write();
         if (isSameTerm) {
-          m_workers->TakeBack(receipts);
+          m_workers->Rollback(receipts);
         }
         return;
       }
@@ -366,7 +368,7 @@
 JobService::RecordCommitted(const std::vector<jobs::Change>& aChanges,
                             TimePoint aNow)
 {
-  const jobs::Book& jobTable = m_node.State().Jobs();
+  const jobs::JobTable& jobTable = m_node.State().Jobs();
   for (const jobs::Change& change : aChanges) {
     if (const auto* start = std::get_if<jobs::StartRun>(&change)) {
       m_startedAt[start->m_task] = aNow;
@@ -380,9 +382,9 @@
     const auto started = m_startedAt.find(end->m_task);
     const jobs::Job* job = jobTable.Find(end->m_task.m_job);
     if (started != m_startedAt.end() && job != nullptr &&
-        end->m_how == jobs::RunEnd::kDone) {
-      m_planner.Learn(job->m_spec.m_steps[end->m_task.m_step],
-                      aNow - started->second);
+        end->m_endReason == jobs::RunEnd::kDone) {
+      m_planner.RecordDuration(job->m_spec.m_steps[end->m_task.m_step],
+                               aNow - started->second);
     }
     if (started != m_startedAt.end()) {
       m_startedAt.erase(started);
@@ -409,7 +411,7 @@
 void
 JobService::RecordIfCrashLoop(const jobs::Job& aJob, const jobs::EndRun& aEnd)
 {
-  if (aEnd.m_how != jobs::RunEnd::kWorkerLost ||
+  if (aEnd.m_endReason != jobs::RunEnd::kWorkerLost ||
       aJob.m_state != jobs::JobState::kFailed) {
     return;
   }
@@ -425,7 +427,7 @@
 void
 JobService::UpdateShedding(TimePoint aNow)
 {
-  const placement::Shedding level = m_shedder.Level(aNow);
+  const placement::SheddingLevel level = m_shedder.Level(aNow);
   if (level != m_sheddingLevel) {
     LogLine(Level::kInfo, "load shedding level changed")
       .With("leavesUndone", placement::Describe(level))
@@ -433,7 +435,7 @@
       .Write();
   }
   m_sheddingLevel = level;
-  m_workers->StretchReports(placement::ReportStretch(level));
+  m_workers->SetReportIntervalFactor(placement::ReportIntervalFactor(level));
 }
 
 kj::Promise<void>
@@ -451,11 +453,11 @@
       m_nextRemoveEnded = now + kRemoveEndedInterval;
       const WallTime before{ WallNow().Get() -
                              ToMillis(m_options.m_endedJobRetention).count() };
-      m_queuedChanges.emplace_back(jobs::ForgetEnded{ before });
+      m_queuedChanges.emplace_back(jobs::RemoveEndedJobs{ before });
     }
     if (now >= m_nextStableCheck) {
       m_nextStableCheck = now + kStableCheckInterval;
-      const auto stable = m_workers->FindSettled(m_node.State().Jobs(), now);
+      const auto stable = m_workers->FindStableRuns(m_node.State().Jobs(), now);
       m_queuedChanges.insert(
         m_queuedChanges.end(), stable.begin(), stable.end());
     }
@@ -499,9 +501,9 @@
   if (aCall.m_kind == jobs::CallKind::kSubmit) {
     return Submit(route, id, std::move(aCall.m_spec));
   }
-  if (id.Get().empty() && aCall.m_kind == jobs::CallKind::kLook) {
+  if (id.Get().empty() && aCall.m_kind == jobs::CallKind::kQuery) {
     jobs::QueueReply reply = ReplyWith(jobs::QueueOutcome::kOk);
-    reply.m_pending = state.Jobs().Pending(route.Queue());
+    reply.m_pending = state.Jobs().PendingJobs(route.Queue());
     return reply;
   }
   const jobs::Job* job = state.Jobs().Find(id);
@@ -554,7 +556,7 @@
     LogLine(Level::kInfo, "job accepted")
       .With("job", aJob.Get())
       .With("queue", queue.Get())
-      .With("repeated", reply->m_outcome == jobs::CallOutcome::kRepeated)
+      .With("repeated", reply->m_outcome == jobs::CallOutcome::kDuplicate)
       .With("index", aResult.m_index.Get())
       .Write();
     m_needsPlan = true;
@@ -582,21 +584,21 @@
     });
 }
 
-kj::Promise<RoutesOutcome>
+kj::Promise<ChangeOutcome>
 JobService::ReplaceRoutes(fleet::RouteTable aTable)
 {
   if (!EnsureLeading()) {
-    return RoutesOutcome::kNotLeader;
+    return ChangeOutcome::kNotLeader;
   }
   if (aTable.m_version <= m_node.State().Routes().m_version) {
     LogLine(Level::kInfo, "routes are no newer than those in force")
       .With("version", aTable.m_version)
       .With("inForce", m_node.State().Routes().m_version)
       .Write();
-    return RoutesOutcome::kInForce;
+    return ChangeOutcome::kInForce;
   }
   if (m_node.IsStalled()) {
-    return RoutesOutcome::kStalled;
+    return ChangeOutcome::kStalled;
   }
   const std::uint64_t version = aTable.m_version;
   return m_node.Propose(fleet::ReplaceRoutes{ std::move(aTable) })
@@ -608,11 +610,11 @@
         .With("inForce", m_node.State().Routes().m_version)
         .Write();
       m_needsPlan = true;
-      return decided ? RoutesOutcome::kInForce : RoutesOutcome::kUndecided;
+      return decided ? ChangeOutcome::kInForce : ChangeOutcome::kUndecided;
     });
 }
 
-RoutesRead
+RoutesReadResult
 JobService::ReadRoutes()
 {
   if (!EnsureLeading()) {
@@ -620,19 +622,19 @@
   }
   const fleet::RouteTable& routes = m_node.State().Routes();
   if (routes.m_version == 0) {
-    return { ReadOutcome::kNothing, "" };
+    return { ReadOutcome::kNoRoutes, "" };
   }
   return { ReadOutcome::kDone, routes.m_document };
 }
 
-kj::Promise<RoutesOutcome>
+kj::Promise<ChangeOutcome>
 JobService::StartMaintenance(fleet::MaintenanceWave aWave)
 {
   if (!EnsureLeading()) {
-    return RoutesOutcome::kNotLeader;
+    return ChangeOutcome::kNotLeader;
   }
   if (m_node.IsStalled()) {
-    return RoutesOutcome::kStalled;
+    return ChangeOutcome::kStalled;
   }
   aWave.m_startedAt = WallNow();
   LogLine(Level::kInfo, "maintenance wave requested")
@@ -643,23 +645,23 @@
     .Write();
   return m_node.Propose(fleet::StartMaintenance{ std::move(aWave) })
     .then([](const ProposalResult& aResult) {
-      return aResult.m_effect ? RoutesOutcome::kInForce
-                              : RoutesOutcome::kUndecided;
+      return aResult.m_effect ? ChangeOutcome::kInForce
+                              : ChangeOutcome::kUndecided;
     });
 }
 
-WaveView
-JobService::LookAtMaintenance(std::uint64_t aWave)
+WaveStatus
+JobService::GetWaveStatus(std::uint64_t aWave)
 {
   if (!EnsureLeading()) {
-    return WaveView::kNotLeader;
+    return WaveStatus::kNotLeader;
   }
   const auto& waves = m_node.State().Maintenance();
   const auto found = waves.find(aWave);
   if (found == waves.end()) {
-    return WaveView::kUnknown;
+    return WaveStatus::kUnknown;
   }
-  return found->second.IsDone() ? WaveView::kCompleted : WaveView::kRunning;
+  return found->second.IsDone() ? WaveStatus::kCompleted : WaveStatus::kRunning;
 }
 
 } // namespace bamboostile::control
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -46,7 +46,7 @@
 } // namespace
 
 Node::Node(NodeOptions aOptions,
-           storage::Opened aOpened,
+           storage::OpenResult aOpened,
            std::unique_ptr<storage::LogStore> aStore,
            kj::AsyncIoProvider& aProvider,
            std::function<void(const storage::Failure&)> aOnDiskFailure)
@@ -61,7 +61,7 @@
   , m_registry(m_options.m_membership)
   , m_disk(std::move(aStore), m_reports)
   , m_snapshots(m_encoded)
-  , m_policy(m_options.m_group)
+  , m_policy(m_options.m_membershipPolicy)
   , m_tasks(*this)
 {
   Pump();
@@ -106,7 +106,7 @@
 {
   return m_reports.Take().then([this](const std::vector<DiskReport>& aReports) {
     for (const DiskReport& report : aReports) {
-      if (report.m_failure && !storage::MayPass(*report.m_failure)) {
+      if (report.m_failure && !storage::IsRetryable(*report.m_failure)) {
         m_onDiskFailure(*report.m_failure);
         return kj::Promise<void>(kj::READY_NOW);
       }
@@ -213,7 +213,7 @@
   // minutes before it retries. A new connection works as soon as the partition
   // ends.
   if (peer->m_outstanding > 0 && now > peer->m_lastAnswer + kPeerTimeout) {
-    peer->m_channel->Drop();
+    peer->m_channel->Disconnect();
     peer->m_lastAnswer = now;
   }
   if (peer->m_outstanding >= kMaxOutstanding) {
@@ -233,7 +233,7 @@
     },
     [peer](kj::Exception&&) {
       --peer->m_outstanding;
-      peer->m_channel->Drop();
+      peer->m_channel->Disconnect();
     }));
 }
 
@@ -382,15 +382,16 @@
 void
 Node::AdvanceWaves(TimePoint aNow)
 {
-  const waves::Observed observations{ [&](const fleet::Instance& aInstance) {
-    return m_registry.IsEmpty(aInstance, aNow);
+  const waves::Observations observations{ [&](
+                                            const fleet::Instance& aInstance) {
+    return m_registry.IsDrained(aInstance, aNow);
   } };
   for (const fleet::Command& command :
        waves::NextSteps(m_state, observations)) {
     ProposeDuty(command);
   }
   if (m_options.m_restart) {
-    for (const fleet::Instance* instance : waves::Released(m_state)) {
+    for (const fleet::Instance* instance : waves::AwaitingRestart(m_state)) {
       m_options.m_restart(*instance);
     }
   }
@@ -520,7 +521,7 @@
   if (m_replica.CurrentMembership().Find(aMessage.m_from) == nullptr) {
     m_replyTo[aMessage.m_from] = std::move(aReplyTo);
   }
-  m_policy.OnHeard(aMessage.m_from, MonotonicNow());
+  m_policy.OnMessage(aMessage.m_from, MonotonicNow());
   m_replica.Receive(aMessage, MonotonicNow());
   Pump();
   UpdateRole();
@@ -612,7 +613,7 @@
     request.send().then([this, aSeed](auto&& aReply) -> kj::Promise<void> {
       if (aReply.getHasNoLog()) {
         m_seedsWithoutLog.insert(aSeed);
-        m_policy.SetLeastVoters(SeedsWithLog().size());
+        m_policy.SetMinVoters(SeedsWithLog().size());
       }
       const std::string leader = aReply.getLeaderAddress();
       if (aReply.getOutcome() == schema::SyncOutcome::OK || leader.empty() ||
@@ -656,7 +657,7 @@
   std::vector<consensus::ReplicaId> synced;
   for (const consensus::Member& member : membership.m_members) {
     if (!member.m_voter &&
-        m_replica.MatchOf(member.m_id) >= m_replica.CommitIndex()) {
+        m_replica.MatchIndexOf(member.m_id) >= m_replica.CommitIndex()) {
       synced.push_back(member.m_id);
     }
   }
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -148,7 +148,7 @@
   {
     KJ_REQUIRE(m_jobs != nullptr, "this replica serves no jobs");
     fleet::RouteTable table = wire::Read(aContext.getParams().getTable());
-    const fleet::RouteFinding finding = fleet::Check(table);
+    const fleet::RouteValidation finding = fleet::ValidateRoutes(table);
     if (finding.m_problem != fleet::RouteProblem::kNone) {
       auto reply = aContext.getResults().initReply();
       reply.setOutcome(schema::CallOutcome::INVALID);
@@ -158,7 +158,7 @@
     }
     const std::uint64_t version = table.m_version;
     return m_jobs->ReplaceRoutes(std::move(table))
-      .then([this, aContext, version](RoutesOutcome aOutcome) mutable {
+      .then([this, aContext, version](ChangeOutcome aOutcome) mutable {
         auto reply = aContext.getResults().initReply();
         ReportReplaced(aOutcome, version, reply);
       });
@@ -179,23 +179,23 @@
 private:
   // A table that another operator has superseded is not in force; the sender is
   // told which version is.
-  void ReportReplaced(RoutesOutcome aOutcome,
+  void ReportReplaced(ChangeOutcome aOutcome,
                       std::uint64_t aVersion,
                       schema::CallReply::Builder aReply)
   {
     const std::uint64_t inForce = m_node.State().Routes().m_version;
     switch (aOutcome) {
-      case RoutesOutcome::kNotLeader:
+      case ChangeOutcome::kNotLeader:
         RefuseAsFollower(aReply);
         return;
-      case RoutesOutcome::kUndecided:
+      case ChangeOutcome::kUndecided:
         aReply.setOutcome(schema::CallOutcome::UNKNOWN);
         return;
-      case RoutesOutcome::kStalled:
+      case ChangeOutcome::kStalled:
         aReply.setOutcome(schema::CallOutcome::UNKNOWN);
         aReply.setMessage("not tried: the replicas' disks take no writes");
         return;
-      case RoutesOutcome::kInForce:
+      case ChangeOutcome::kInForce:
         break;
     }
     aReply.setRevision(inForce);
@@ -325,7 +325,7 @@
     for (auto announcement : aContext.getParams().getAnnouncements()) {
       command.m_announcements.push_back(wire::Read(announcement));
       const auto& announced = command.m_announcements.back();
-      m_node.Registry().OnAlive(
+      m_node.Registry().OnAnnouncement(
         announced.m_id, announced.m_incarnation, MonotonicNow());
     }
     return m_node.Propose(command).then(
--- a/src/control/status.cpp
+++ b/src/control/status.cpp
@@ -158,7 +158,7 @@
   const TimePoint now = MonotonicNow();
   Json replicas = Json::array();
   for (const auto& member : m_replica.CurrentMembership().m_members) {
-    const Index match = m_replica.MatchOf(member.m_id);
+    const Index match = m_replica.MatchIndexOf(member.m_id);
     replicas.push_back(
       { { "id", member.m_id.m_instance },
         { "incarnation", member.m_id.m_incarnation },
@@ -166,7 +166,7 @@
         { "voter", member.m_voter },
         { "leader", member.m_id == m_replica.Self() },
         { "behind", m_replica.LastIndex().Get() - match.Get() },
-        { "regressed", m_replica.Regressed().contains(member.m_id) } });
+        { "regressed", m_replica.RegressedPeers().contains(member.m_id) } });
   }
   Json entries = Json::array();
   for (const auto& entry : m_registry.LiveEntries(now)) {
@@ -175,7 +175,7 @@
   Json instances = Values(m_state.Instances());
   for (Json& instance : instances) {
     const auto& known = m_state.Instances().at(InstanceId{ instance.at("id") });
-    instance["empty"] = m_registry.IsEmpty(known, now);
+    instance["empty"] = m_registry.IsDrained(known, now);
   }
   Json waves = Values(m_state.Waves());
   Json plans = Json::object();
--- a/src/control/worker_api.cpp
+++ b/src/control/worker_api.cpp
@@ -62,7 +62,7 @@
       (reportingWorker.empty() && leavingWorker.empty())) {
     return false;
   }
-  json::BadField invalid;
+  json::InvalidField invalid;
   if (!leavingWorker.empty()) {
     const auto incarnation =
       wire::ReadWorkerLeave(leavingWorker, request.m_body, invalid);
--- a/src/control/worker_log.h
+++ b/src/control/worker_log.h
@@ -9,7 +9,7 @@
 inline telemetry::LogLine
 WorkerLogLine(telemetry::Level aLevel,
               const char* aEvent,
-              const WorkerLife& aWorker)
+              const WorkerIncarnation& aWorker)
 {
   telemetry::LogLine line(aLevel, aEvent);
   line.With("worker", aWorker.m_id.Get())
--- a/src/control/worker_reports.cpp
+++ b/src/control/worker_reports.cpp
@@ -31,11 +31,11 @@
   }
   const TimePoint now = MonotonicNow();
   m_latencies.Observe(Stage::kReportQueued, now - aReceivedAt);
-  m_shedder.OnWaited(now - aReceivedAt, now);
-  const WorkerLife worker = aReport.m_worker;
+  m_shedder.RecordWait(now - aReceivedAt, now);
+  const WorkerIncarnation worker = aReport.m_worker;
   const std::uint64_t sequence = aReport.m_sequence;
   const bool isNew = m_workers->Find(worker) == nullptr;
-  placement::Heard result =
+  placement::ReportResult result =
     m_workers->OnReport(aReport, m_node.State().Jobs(), now, WallNow());
   if (result.m_superseded) {
     RecordRestart(aReport, result);
@@ -47,8 +47,8 @@
     RecordIgnored(aReport, *result.m_ignored, now);
     WorkerAnswer late;
     late.m_refusal = placement::Describe(*result.m_ignored);
-    if (result.m_ignored == placement::Ignored::kUnproven) {
-      late.m_orders = m_workers->AnswerUnproven();
+    if (result.m_ignored == placement::IgnoreReason::kUnconfirmed) {
+      late.m_orders = m_workers->AnswerUnconfirmed();
       late.m_fencingToken = m_term;
     }
     return late;
@@ -85,17 +85,17 @@
 }
 
 kj::Promise<WorkerAnswer>
-JobService::Leave(const WorkerLife& aWorker)
+JobService::Leave(const WorkerIncarnation& aWorker)
 {
   if (!EnsureLeading()) {
     return NotLeaderAnswer();
   }
   // A leave that does not name its incarnation ends none if the worker has
   // several.
-  const WorkerLife incarnation =
-    aWorker.SaysStart()
+  const WorkerIncarnation incarnation =
+    aWorker.HasStartTime()
       ? aWorker
-      : m_workers->FindOnlyLife(aWorker.m_id).value_or(aWorker);
+      : m_workers->FindOnlyIncarnation(aWorker.m_id).value_or(aWorker);
   WorkerLogLine(Level::kInfo, "worker left", incarnation).Write();
   OnIncarnationEnded(incarnation);
   WorkerAnswer answer;
@@ -113,7 +113,8 @@
   }
   WorkerAnswer answer;
   const placement::Worker* worker = m_workers->Find(aReport.m_worker);
-  if (worker == nullptr || worker->m_last.m_sequence != aReport.m_sequence) {
+  if (worker == nullptr ||
+      worker->m_lastReport.m_sequence != aReport.m_sequence) {
     answer.m_refusal = "overtaken by a later report, or the worker has ended";
     return answer;
   }
@@ -135,7 +136,7 @@
   for (PendingReport& report : TakePending(isPlanned)) {
     if (isLeader &&
         m_options.m_mechanisms.Has(placement::Mechanism::kHeldReports) &&
-        m_workers->IsQuiet(report.m_worker, m_node.State().Jobs())) {
+        m_workers->IsSteady(report.m_worker, m_node.State().Jobs())) {
       HoldReport(kj::mv(report), now);
     } else {
       report.m_fulfiller->fulfill(AnswerOf(report, isLeader, now));
@@ -188,13 +189,13 @@
 void
 JobService::HoldReport(PendingReport aReport, TimePoint aNow)
 {
-  const WorkerLife worker = aReport.m_worker;
+  const WorkerIncarnation worker = aReport.m_worker;
   HeldReport& held = m_heldReports[worker];
   if (held.m_report.m_fulfiller.get() != nullptr) {
     held.m_report.m_fulfiller->fulfill(NotLeaderAnswer());
   }
   held.m_report = kj::mv(aReport);
-  held.m_deadline = aNow + m_options.m_lease.m_holdQuiet;
+  held.m_deadline = aNow + m_options.m_lease.m_steadyAnswerDelay;
 }
 
 void
@@ -202,7 +203,7 @@
 {
   for (auto it = m_heldReports.begin(); it != m_heldReports.end();) {
     const bool isSteady =
-      aIsLeader && m_workers->IsQuiet(it->first, m_node.State().Jobs());
+      aIsLeader && m_workers->IsSteady(it->first, m_node.State().Jobs());
     if (isSteady && aNow < it->second.m_deadline) {
       ++it;
       continue;
@@ -215,7 +216,7 @@
 
 void
 JobService::RecordIgnored(const placement::WorkerReport& aReport,
-                          placement::Ignored aReason,
+                          placement::IgnoreReason aReason,
                           TimePoint aNow)
 {
   const std::string reason = placement::Describe(aReason);
@@ -231,7 +232,7 @@
 
 void
 JobService::RecordRestart(const placement::WorkerReport& aReport,
-                          const placement::Heard& aResult)
+                          const placement::ReportResult& aResult)
 {
   m_metrics.Count("worker_restarts_total");
   WorkerLogLine(Level::kInfo, "worker has started again", aReport.m_worker)
--- a/src/entry/caller_headers.cpp
+++ b/src/entry/caller_headers.cpp
@@ -90,7 +90,7 @@
       aProblem = { kKeyHeader, "1 to 128 visible ASCII characters, no slash" };
       return std::nullopt;
     }
-    arrival.m_keyed = true;
+    arrival.m_hasCallerId = true;
     arrival.m_request = RequestId{ *key };
   }
   if (const auto text = http::FindHeader(aRequest.m_headers, kTimeoutHeader)) {
--- a/src/entry/frontend.cpp
+++ b/src/entry/frontend.cpp
@@ -44,10 +44,10 @@
       return AttemptEnd::kNotSent;
     case http::CallEnd::kTimedOut:
       return AttemptEnd::kTimedOut;
-    case http::CallEnd::kBroken:
+    case http::CallEnd::kIncomplete:
       break;
   }
-  return AttemptEnd::kBroken;
+  return AttemptEnd::kIncomplete;
 }
 
 bool
@@ -198,7 +198,7 @@
     aExchange->Respond(FieldError(problem.m_field, problem.m_allowed));
     return;
   }
-  if (!arrival->m_keyed) {
+  if (!arrival->m_hasCallerId) {
     arrival->m_request = RequestId{ internal::RandomId() };
   }
   const TimePoint now = MonotonicNow();
@@ -221,7 +221,7 @@
       http::FindHeader(incoming.m_headers, internal::kTraceHeader)
         .value_or(""));
     pending.m_span =
-      telemetry::StartSpanBelow(*m_tracer, "entry.request", parent);
+      telemetry::StartChildSpan(*m_tracer, "entry.request", parent);
     pending.m_span->SetTag("request.id", arrival->m_request.Get());
     pending.m_span->SetTag("service", service);
   }
@@ -378,7 +378,7 @@
     m_server->StopAccepting();
     m_link.Put(Leave{ std::exchange(m_onDrained, nullptr) });
   }
-  if (m_hasReportedInFlight || !m_engine.Leftovers().empty()) {
+  if (m_hasReportedInFlight || !m_engine.DrainingInFlight().empty()) {
     ReportApplied();
   }
 }
@@ -388,7 +388,7 @@
 {
   Applied applied;
   applied.m_revision = m_engine.Revision();
-  for (const auto& [id, count] : m_engine.Leftovers()) {
+  for (const auto& [id, count] : m_engine.DrainingInFlight()) {
     applied.m_inFlight.push_back({ id, count });
   }
   m_hasReportedInFlight = !applied.m_inFlight.empty();
@@ -409,7 +409,7 @@
 }
 
 void
-Frontend::Execute(request::AskBegin aAction)
+Frontend::Execute(request::BeginAttempt aAction)
 {
   Pending& pending = m_pending.at(aAction.m_local);
   if (pending.m_span) {
@@ -418,7 +418,7 @@
   }
   const LocalId local = aAction.m_local;
   m_link.Put(Begin{ std::move(aAction.m_begin),
-                    aAction.m_patience,
+                    aAction.m_timeout,
                     [this, local](request::BeginResult aResult) {
                       m_server->Post(
                         [this, local, result = std::move(aResult)]() {
@@ -433,11 +433,11 @@
 }
 
 void
-Frontend::Execute(request::AskRecord aAction)
+Frontend::Execute(request::QueryRecord aAction)
 {
   const LocalId local = aAction.m_local;
   m_link.Put(Lookup{ std::move(aAction.m_request),
-                     aAction.m_patience,
+                     aAction.m_timeout,
                      [this, local](request::BeginResult aResult) {
                        m_server->Post(
                          [this, local, result = std::move(aResult)]() {
@@ -468,7 +468,7 @@
   }
   call.m_body = aPending.m_body;
   call.m_timeout = aDispatch.m_timeout;
-  call.m_onlyOnce = aDispatch.m_onlyOnce;
+  call.m_atMostOnce = aDispatch.m_atMostOnce;
   // Checked again right before sending: if the process was suspended after the
   // engine's decision, its lease may have ended and the upstream may be
   // leaving.
@@ -487,10 +487,10 @@
       "upstream.call", { opentracing::ChildOf(&pending.m_span->context()) });
     pending.m_stepSpan->SetTag("upstream",
                                aDispatch.m_upstream.m_instance.Get());
-    pending.m_stepSpan->SetTag("attempt", aDispatch.m_number);
+    pending.m_stepSpan->SetTag("attempt", aDispatch.m_attemptNumber);
   }
   const LocalId local = aDispatch.m_local;
-  const std::uint32_t number = aDispatch.m_number;
+  const std::uint32_t number = aDispatch.m_attemptNumber;
   m_client->Start(MakeCall(pending, aDispatch),
                   [this, local, number](http::CallResult aResult) {
                     auto shared =
@@ -509,7 +509,7 @@
   request::AttemptResult result;
   result.m_end = ToAttemptEnd(aResult.m_end);
   result.m_status = aResult.m_response.m_status;
-  result.m_took = aResult.m_took;
+  result.m_elapsed = aResult.m_elapsed;
   result.m_provesNotRun = result.m_end == AttemptEnd::kAnswered &&
                           http::FindHeader(aResult.m_response.m_headers,
                                            internal::kNotRunHeader) == "true";
@@ -529,7 +529,7 @@
     }
     pending.m_answer = std::move(aResult.m_response);
   }
-  m_metrics.Observe("upstream_seconds", ToSeconds(result.m_took));
+  m_metrics.Observe("upstream_seconds", ToSeconds(result.m_elapsed));
   m_engine.OnAttempt(aLocal, aNumber, result, MonotonicNow());
   ExecuteActions();
 }
@@ -610,7 +610,7 @@
 std::string
 Frontend::RenderMetrics()
 {
-  const request::Counters& counters = m_engine.Count();
+  const request::Counters& counters = m_engine.GetCounters();
   telemetry::Metrics& metrics = m_metrics;
   metrics.Set("requests_done", static_cast<double>(counters.m_done));
   metrics.Set("requests_not_run", static_cast<double>(counters.m_notRun));
--- a/src/entry/jobs_api.cpp
+++ b/src/entry/jobs_api.cpp
@@ -40,7 +40,7 @@
   const bool isOk = aReply.m_outcome == jobs::QueueOutcome::kOk;
   if (isOk && aReply.m_pending) {
     body["pending"] = *aReply.m_pending;
-  } else if (isOk && aKind == jobs::CallKind::kLook) {
+  } else if (isOk && aKind == jobs::CallKind::kQuery) {
     body["state"] = wire::NameOf(aReply.m_state);
   }
   if (!aReply.m_detail.empty()) {
@@ -81,7 +81,7 @@
       { { "allowed", id.empty() ? "GET" : "GET, POST, DELETE" } }));
     return std::nullopt;
   }
-  json::BadField invalid;
+  json::InvalidField invalid;
   auto spec = wire::ReadJobSpec(request.m_body, invalid);
   if (!spec) {
     aExchange.Respond(JsonResponse(
--- a/src/entry/leader_client.cpp
+++ b/src/entry/leader_client.cpp
@@ -164,7 +164,7 @@
         kj::Exception&&) -> kj::Maybe<jobs::QueueReply> {
         Target& target = TargetAt(address);
         if (target.m_lastAnswerAt < now || !*isConnected) {
-          target.m_channel->Drop();
+          target.m_channel->Disconnect();
         }
         return nullptr;
       })
--- a/src/entry/link.cpp
+++ b/src/entry/link.cpp
@@ -139,7 +139,7 @@
 Link::OnCallFailed(const std::string& aFrom)
 {
   if (aFrom == m_currentAddress) {
-    m_channels.at(aFrom)->Drop();
+    m_channels.at(aFrom)->Disconnect();
   }
   SelectNextReplica(aFrom, "");
 }
--- a/src/fleet/codec.cpp
+++ b/src/fleet/codec.cpp
@@ -258,7 +258,7 @@
     aJson.at("maintenance").get_to(aState.m_maintenance);
     aState.m_recentOrders = aJson.value("recentOrders", std::set<InstanceId>{});
     const auto& bytes = aJson.at("jobs").get_binary();
-    auto table = jobs::DecodeBook({ bytes.begin(), bytes.end() });
+    auto table = jobs::DecodeJobTable({ bytes.begin(), bytes.end() });
     if (!table) {
       throw Json::other_error::create(
         503, "the job table of a snapshot is damaged", &aJson);
@@ -291,7 +291,7 @@
                  { "routes", aState.m_routes },
                  { "maintenance", aState.m_maintenance },
                  { "recentOrders", aState.m_recentOrders },
-                 { "jobs", Binary(jobs::EncodeBook(aState.m_jobs)) } };
+                 { "jobs", Binary(jobs::EncodeJobTable(aState.m_jobs)) } };
   }
 
   static State Read(const Json& aJson)
--- a/src/fleet/maintenance.cpp
+++ b/src/fleet/maintenance.cpp
@@ -23,7 +23,7 @@
 }
 
 std::size_t
-MaintenanceWave::Down() const
+MaintenanceWave::DownCount() const
 {
   return static_cast<std::size_t>(std::count_if(
     m_instances.begin(), m_instances.end(), [](const auto& aEntry) {
--- a/src/fleet/routes.cpp
+++ b/src/fleet/routes.cpp
@@ -35,8 +35,8 @@
   return found == m_services.end() ? nullptr : &found->m_id;
 }
 
-RouteFinding
-Check(const RouteTable& aTable)
+RouteValidation
+ValidateRoutes(const RouteTable& aTable)
 {
   if (aTable.m_version == 0) {
     return { RouteProblem::kNoVersion, "" };
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -50,7 +50,7 @@
   // libcurl retransmits a request by itself if a reused connection turns out to
   // be closed, although the upstream may have run the request. A second call of
   // this function for a transfer is such a retransmission.
-  if (transfer.m_sent && transfer.m_call.m_onlyOnce) {
+  if (transfer.m_sent && transfer.m_call.m_atMostOnce) {
     return CURL_PREREQFUNC_ABORT;
   }
   if (transfer.m_call.m_maySend && !transfer.m_call.m_maySend()) {
@@ -131,7 +131,7 @@
   const bool isComplete = aCode == CURLE_OK &&
                           response.m_status >= kFirstFinalStatus &&
                           HasFramedEnd(aTransfer.m_call, response);
-  return isComplete ? CallEnd::kAnswered : CallEnd::kBroken;
+  return isComplete ? CallEnd::kAnswered : CallEnd::kIncomplete;
 }
 
 } // namespace
@@ -225,7 +225,7 @@
     // be lost or run without an answer, so a new connection is used. That
     // connection is closed afterwards: if kept, such connections accumulate
     // until they reach the peer's connection limit.
-    const long newConnection = call.m_onlyOnce ? 1 : 0;
+    const long newConnection = call.m_atMostOnce ? 1 : 0;
     curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, newConnection);
     curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, newConnection);
     curl_multi_add_handle(m_multi, easy);
@@ -250,7 +250,7 @@
       CallResult& result = transfer->m_result;
       result.m_response.m_status = static_cast<std::uint32_t>(status);
       result.m_end = EndOf(*transfer, code);
-      result.m_took = MonotonicNow() - transfer->m_startedAt;
+      result.m_elapsed = MonotonicNow() - transfer->m_startedAt;
       result.m_detail = transfer->m_tooLarge ? "the answer is too large"
                                              : curl_easy_strerror(code);
       transfer->m_done(std::move(result));
--- a/src/jobs/book.cpp
+++ b/src/jobs/book.cpp
@@ -61,7 +61,7 @@
 }
 
 BatchReply
-Book::Apply(const Batch& aBatch, const AttemptLimit& aLimit)
+JobTable::Apply(const Batch& aBatch, const AttemptLimit& aLimit)
 {
   BatchReply reply;
   for (const Change& change : aBatch.m_changes) {
@@ -76,27 +76,27 @@
 }
 
 Job*
-Book::FindJob(const JobId& aId)
+JobTable::FindJob(const JobId& aId)
 {
   const auto found = m_jobs.find(aId);
   return found == m_jobs.end() ? nullptr : &found->second;
 }
 
 const Job*
-Book::Find(const JobId& aId) const
+JobTable::Find(const JobId& aId) const
 {
   const auto found = m_jobs.find(aId);
   return found == m_jobs.end() ? nullptr : &found->second;
 }
 
 Task*
-Book::FindMutableTask(const TaskRef& aTask)
+JobTable::FindMutableTask(const TaskRef& aTask)
 {
   return const_cast<Task*>(std::as_const(*this).FindTask(aTask));
 }
 
 const Task*
-Book::FindTask(const TaskRef& aTask) const
+JobTable::FindTask(const TaskRef& aTask) const
 {
   const Job* job = Find(aTask.m_job);
   if (job == nullptr) {
@@ -112,7 +112,7 @@
 }
 
 std::vector<WorkerLoss>
-Book::LossesOf(const TaskRef& aTask) const
+JobTable::LossesOf(const TaskRef& aTask) const
 {
   if (m_tasksWithLosses.empty()) {
     return {};
@@ -125,14 +125,14 @@
 }
 
 bool
-Book::HasLosses(const JobId& aJob) const
+JobTable::HasLosses(const JobId& aJob) const
 {
   const auto first = m_tasksWithLosses.lower_bound(TaskRef{ aJob });
   return first != m_tasksWithLosses.end() && first->m_job == aJob;
 }
 
 bool
-Book::HasSuspects() const
+JobTable::HasSuspects() const
 {
   return std::any_of(
     m_tasksWithLosses.begin(),
@@ -141,7 +141,7 @@
 }
 
 bool
-Book::CountsLate(const TaskRef& aTask, RunNumber aRun) const
+JobTable::AcceptsLateEnd(const TaskRef& aTask, RunNumber aRun) const
 {
   const Task* task = FindTask(aTask);
   if (task == nullptr || task->m_phase == TaskPhase::kDone) {
@@ -156,7 +156,7 @@
 }
 
 bool
-Book::AreOneGang(const TaskRef& aLeft, const TaskRef& aRight) const
+JobTable::AreInSameGang(const TaskRef& aLeft, const TaskRef& aRight) const
 {
   return aLeft.m_job == aRight.m_job &&
          aLeft.m_occurrence == aRight.m_occurrence &&
@@ -165,14 +165,15 @@
 }
 
 std::uint64_t
-Book::Pending(const QueueId& aQueue) const
+JobTable::PendingJobs(const QueueId& aQueue) const
 {
   const auto found = m_pending.find(aQueue);
   return found == m_pending.end() ? 0 : found->second;
 }
 
 bool
-Book::IsTurn(const Occurrence& aOccurrence, const StepSpec& aStep)
+JobTable::AreDependenciesDone(const Occurrence& aOccurrence,
+                              const StepSpec& aStep)
 {
   return std::all_of(
     aStep.m_dependsOn.begin(), aStep.m_dependsOn.end(), [&](auto aEarlier) {
@@ -181,7 +182,7 @@
 }
 
 Occurrence
-Book::MakeOccurrence(const JobSpec& aSpec)
+JobTable::MakeOccurrence(const JobSpec& aSpec)
 {
   Occurrence occurrence;
   for (const StepSpec& step : aSpec.m_steps) {
@@ -191,11 +192,11 @@
 }
 
 CallOutcome
-Book::ApplyChange(const Submit& aSubmit, const AttemptLimit& /*aLimit*/)
+JobTable::ApplyChange(const Submit& aSubmit, const AttemptLimit& /*aLimit*/)
 {
   const auto [found, isNew] = m_jobs.try_emplace(aSubmit.m_job);
   if (!isNew) {
-    return CallOutcome::kRepeated;
+    return CallOutcome::kDuplicate;
   }
   Job& job = found->second;
   job.m_id = aSubmit.m_job;
@@ -212,7 +213,7 @@
 }
 
 CallOutcome
-Book::ApplyChange(const Cancel& aCancel, const AttemptLimit& /*aLimit*/)
+JobTable::ApplyChange(const Cancel& aCancel, const AttemptLimit& /*aLimit*/)
 {
   Job* job = FindJob(aCancel.m_job);
   if (job == nullptr) {
@@ -225,7 +226,7 @@
 }
 
 CallOutcome
-Book::ApplyChange(const StartRun& aStart, const AttemptLimit& /*aLimit*/)
+JobTable::ApplyChange(const StartRun& aStart, const AttemptLimit& /*aLimit*/)
 {
   Job* job = FindJob(aStart.m_task.m_job);
   if (job == nullptr || job->m_state != JobState::kActive ||
@@ -248,7 +249,7 @@
   task.m_phase = TaskPhase::kRunning;
   task.m_lastRun = aStart.m_run;
   task.m_worker = aStart.m_worker;
-  task.m_settled = false;
+  task.m_isStable = false;
   ++step.m_running;
   ++job->m_running;
   m_tasksByWorker[aStart.m_worker].push_back(aStart.m_task);
@@ -257,7 +258,7 @@
 }
 
 void
-Book::MarkStarted(Job& aJob)
+JobTable::MarkStarted(Job& aJob)
 {
   if (aJob.m_started) {
     return;
@@ -269,7 +270,8 @@
 }
 
 void
-Book::RemoveFromWorker(const WorkerLife& aWorker, const TaskRef& aTask)
+JobTable::RemoveFromWorker(const WorkerIncarnation& aWorker,
+                           const TaskRef& aTask)
 {
   const auto placed = m_tasksByWorker.find(aWorker);
   if (placed == m_tasksByWorker.end()) {
@@ -282,7 +284,7 @@
 }
 
 void
-Book::StopRunning(Job& aJob, const TaskRef& aTask)
+JobTable::StopRunning(Job& aJob, const TaskRef& aTask)
 {
   StepRun& step =
     aJob.m_occurrences.at(aTask.m_occurrence).m_steps[aTask.m_step];
@@ -297,7 +299,7 @@
 }
 
 void
-Book::MarkDone(Job& aJob, const TaskRef& aTask)
+JobTable::MarkDone(Job& aJob, const TaskRef& aTask)
 {
   Occurrence& occurrence = aJob.m_occurrences.at(aTask.m_occurrence);
   StepRun& step = occurrence.m_steps[aTask.m_step];
@@ -321,14 +323,14 @@
 }
 
 CallOutcome
-Book::ApplyChange(const EndRun& aEnd, const AttemptLimit& aLimit)
+JobTable::ApplyChange(const EndRun& aEnd, const AttemptLimit& aLimit)
 {
   Job* job = FindJob(aEnd.m_task.m_job);
   const Task* known = FindTask(aEnd.m_task);
   if (job == nullptr || known == nullptr) {
     return CallOutcome::kNone;
   }
-  const bool isLate = aEnd.m_isLate && CountsLate(aEnd.m_task, aEnd.m_run);
+  const bool isLate = aEnd.m_isLate && AcceptsLateEnd(aEnd.m_task, aEnd.m_run);
   const bool isRunning = known->m_phase == TaskPhase::kRunning;
   if (!isLate && (!isRunning || known->m_lastRun != aEnd.m_run)) {
     return CallOutcome::kNone;
@@ -344,7 +346,7 @@
   if (!aEnd.m_checkpoint.empty()) {
     task.m_checkpoint = aEnd.m_checkpoint;
   }
-  if (aEnd.m_how == RunEnd::kDone && !spec.m_longRunning) {
+  if (aEnd.m_endReason == RunEnd::kDone && !spec.m_longRunning) {
     MarkDone(*job, aEnd.m_task);
     // All members of a gang are done together; the ends of the other members
     // may arrive later, or never if a member's worker is lost in between.
@@ -353,12 +355,12 @@
       member.m_index = i;
       MarkDone(*job, member);
     }
-  } else if (aEnd.m_how == RunEnd::kFailed) {
+  } else if (aEnd.m_endReason == RunEnd::kFailed) {
     ++task.m_failures;
     if (!spec.m_longRunning) {
       FailIfAttemptsExhausted(*job, aEnd, step, aLimit);
     }
-  } else if (aEnd.m_how == RunEnd::kWorkerLost &&
+  } else if (aEnd.m_endReason == RunEnd::kWorkerLost &&
              aEnd.m_evidence != CrashEvidence::kNone) {
     AddLoss(*job, aEnd, step);
   }
@@ -377,7 +379,7 @@
 // started, jobs whose first workers were lost would not be counted as pending,
 // and callers would be told that no job waits.
 void
-Book::MarkPendingIfNoProgress(Job& aJob)
+JobTable::MarkPendingIfNoProgress(Job& aJob)
 {
   const auto hasProgress = [](const Task& aTask) {
     return aTask.m_phase == TaskPhase::kDone || aTask.m_failures > 0 ||
@@ -397,10 +399,10 @@
 }
 
 void
-Book::FailIfAttemptsExhausted(Job& aJob,
-                              const EndRun& aEnd,
-                              const StepRun& aStep,
-                              const AttemptLimit& aLimit)
+JobTable::FailIfAttemptsExhausted(Job& aJob,
+                                  const EndRun& aEnd,
+                                  const StepRun& aStep,
+                                  const AttemptLimit& aLimit)
 {
   std::uint32_t failures = aStep.m_tasks[aEnd.m_task.m_index].m_failures;
   if (aJob.m_spec.m_steps[aEnd.m_task.m_step].m_gang) {
@@ -421,7 +423,7 @@
 // that follows is made here, in the replicated state, so that it survives a
 // change of leader.
 void
-Book::AddLoss(Job& aJob, const EndRun& aEnd, StepRun& aStep)
+JobTable::AddLoss(Job& aJob, const EndRun& aEnd, StepRun& aStep)
 {
   if (aJob.m_state != JobState::kActive) {
     return;
@@ -435,19 +437,20 @@
   m_tasksWithLosses.insert(aEnd.m_task);
   const auto losses = jobs::LossesOf(
     aJob.m_spec.m_steps[aEnd.m_task.m_step], aStep, aEnd.m_task.m_index);
-  if (IsProven(losses)) {
+  if (IsProvenCrasher(losses)) {
     aJob.m_reason = NameOf(aEnd.m_task) + " " + DescribeLosses(losses);
     Finish(aJob, JobState::kFailed, aEnd.m_at);
   }
 }
 
 CallOutcome
-Book::ApplyChange(const SettleRun& aMark, const AttemptLimit& /*aLimit*/)
+JobTable::ApplyChange(const MarkRunStable& aMark,
+                      const AttemptLimit& /*aLimit*/)
 {
   Task* task = FindMutableTask(aMark.m_task);
   if (task != nullptr && task->m_phase == TaskPhase::kRunning &&
       task->m_lastRun == aMark.m_run) {
-    task->m_settled = true;
+    task->m_isStable = true;
     task->m_losses.clear();
     m_tasksWithLosses.erase(aMark.m_task);
   }
@@ -455,11 +458,12 @@
 }
 
 CallOutcome
-Book::ApplyChange(const AdoptRun& aChange, const AttemptLimit& /*aLimit*/)
+JobTable::ApplyChange(const SetRunIncarnation& aChange,
+                      const AttemptLimit& /*aLimit*/)
 {
   Task* task = FindMutableTask(aChange.m_task);
   if (task != nullptr && task->m_phase == TaskPhase::kRunning &&
-      task->m_lastRun == aChange.m_run && !task->m_worker.SaysStart() &&
+      task->m_lastRun == aChange.m_run && !task->m_worker.HasStartTime() &&
       task->m_worker.m_id == aChange.m_worker.m_id) {
     RemoveFromWorker(task->m_worker, aChange.m_task);
     task->m_worker = aChange.m_worker;
@@ -469,7 +473,7 @@
 }
 
 CallOutcome
-Book::ApplyChange(const FailJob& aFail, const AttemptLimit& /*aLimit*/)
+JobTable::ApplyChange(const FailJob& aFail, const AttemptLimit& /*aLimit*/)
 {
   Job* job = FindJob(aFail.m_job);
   if (job != nullptr && job->m_state == JobState::kActive) {
@@ -480,7 +484,7 @@
 }
 
 void
-Book::Finish(Job& aJob, JobState aState, WallTime aAt)
+JobTable::Finish(Job& aJob, JobState aState, WallTime aAt)
 {
   aJob.m_state = aState;
   aJob.m_endedAt = aAt;
@@ -497,7 +501,7 @@
 }
 
 void
-Book::CloseIfIdle(const Job& aJob)
+JobTable::CloseIfIdle(const Job& aJob)
 {
   if (aJob.m_state != JobState::kActive && aJob.m_running == 0) {
     m_open.erase(aJob.m_order);
@@ -505,7 +509,8 @@
 }
 
 CallOutcome
-Book::ApplyChange(const ForgetEnded& aRemoval, const AttemptLimit& /*aLimit*/)
+JobTable::ApplyChange(const RemoveEndedJobs& aRemoval,
+                      const AttemptLimit& /*aLimit*/)
 {
   std::erase_if(m_jobs, [&](const auto& aEntry) {
     const Job& job = aEntry.second;
@@ -516,7 +521,7 @@
 }
 
 void
-Book::RebuildIndexes()
+JobTable::RebuildIndexes()
 {
   m_open.clear();
   m_tasksByWorker.clear();
--- a/src/jobs/calls.cpp
+++ b/src/jobs/calls.cpp
@@ -8,7 +8,7 @@
   switch (aKind) {
     case CallKind::kSubmit:
       return "submit";
-    case CallKind::kLook:
+    case CallKind::kQuery:
       return "look";
     case CallKind::kCancel:
       return "cancel";
--- a/src/jobs/codec.cpp
+++ b/src/jobs/codec.cpp
@@ -61,7 +61,7 @@
            aFrom.getIndex() };
 }
 
-WorkerLife
+WorkerIncarnation
 ReadIncarnation(capnp::Text::Reader aId, std::int64_t aStartedAtMs)
 {
   return { WorkerId{ Text(aId) }, WallTime{ aStartedAtMs } };
@@ -94,7 +94,7 @@
                  auto to = aTo.initEnd();
                  Write(aEnd.m_task, to.initEnded());
                  to.setEndedRun(aEnd.m_run.Get());
-                 to.setHow(static_cast<std::uint8_t>(aEnd.m_how));
+                 to.setHow(static_cast<std::uint8_t>(aEnd.m_endReason));
                  to.setCheckpoint(aEnd.m_checkpoint);
                  to.setEndAtMs(aEnd.m_at.Get());
                  to.setLate(aEnd.m_isLate);
@@ -109,15 +109,15 @@
                  to.setReason(aFail.m_reason);
                  to.setFailAtMs(aFail.m_at.Get());
                },
-               [&](const ForgetEnded& aRemoval) {
+               [&](const RemoveEndedJobs& aRemoval) {
                  aTo.initForget().setEndedBeforeMs(aRemoval.m_before.Get());
                },
-               [&](const SettleRun& aMark) {
+               [&](const MarkRunStable& aMark) {
                  auto to = aTo.initSettle();
                  Write(aMark.m_task, to.initSettled());
                  to.setSettledRun(aMark.m_run.Get());
                },
-               [&](const AdoptRun& aSetIncarnation) {
+               [&](const SetRunIncarnation& aSetIncarnation) {
                  auto to = aTo.initAdopt();
                  Write(aSetIncarnation.m_task, to.initAdopted());
                  to.setAdoptedRun(aSetIncarnation.m_run.Get());
@@ -170,18 +170,19 @@
                       WallTime{ from.getFailAtMs() } };
     }
     case schema::Change::FORGET:
-      return ForgetEnded{ WallTime{ aFrom.getForget().getEndedBeforeMs() } };
+      return RemoveEndedJobs{ WallTime{
+        aFrom.getForget().getEndedBeforeMs() } };
     case schema::Change::SETTLE: {
       const auto from = aFrom.getSettle();
-      return SettleRun{ Read(from.getSettled()),
-                        RunNumber{ from.getSettledRun() } };
+      return MarkRunStable{ Read(from.getSettled()),
+                            RunNumber{ from.getSettledRun() } };
     }
     case schema::Change::ADOPT: {
       const auto from = aFrom.getAdopt();
-      return AdoptRun{ Read(from.getAdopted()),
-                       RunNumber{ from.getAdoptedRun() },
-                       ReadIncarnation(from.getAdopter(),
-                                       from.getAdopterStartedAtMs()) };
+      return SetRunIncarnation{ Read(from.getAdopted()),
+                                RunNumber{ from.getAdoptedRun() },
+                                ReadIncarnation(from.getAdopter(),
+                                                from.getAdopterStartedAtMs()) };
     }
   }
   KJ_FAIL_REQUIRE("unknown kind of change");
@@ -255,7 +256,7 @@
           list[i].setWorker(tasks[i].m_worker.m_id.Get());
           list[i].setWorkerStartedAtMs(tasks[i].m_worker.m_startedAt.Get());
           list[i].setCheckpoint(tasks[i].m_checkpoint);
-          list[i].setSettled(tasks[i].m_settled);
+          list[i].setSettled(tasks[i].m_isStable);
           WriteLosses(tasks[i].m_losses, list[i]);
         }
       }
@@ -286,7 +287,7 @@
           task.m_worker = ReadIncarnation(taskState.getWorker(),
                                           taskState.getWorkerStartedAtMs());
           task.m_checkpoint = Text(taskState.getCheckpoint());
-          task.m_settled = taskState.getSettled();
+          task.m_isStable = taskState.getSettled();
           task.m_losses = ReadLosses(taskState);
         }
       }
@@ -294,7 +295,7 @@
     return job;
   }
 
-  static std::string Write(const Book& aJobTable)
+  static std::string Write(const JobTable& aJobTable)
   {
     capnp::MallocMessageBuilder message;
     auto root = message.initRoot<schema::Jobs>();
@@ -307,9 +308,9 @@
     return ToBytes(message);
   }
 
-  static Book Read(schema::Jobs::Reader aFrom)
+  static JobTable Read(schema::Jobs::Reader aFrom)
   {
-    Book jobTable;
+    JobTable jobTable;
     jobTable.m_nextOrder = aFrom.getNextOrder();
     for (auto jobState : aFrom.getJobs()) {
       Job job = Read(jobState);
@@ -345,13 +346,13 @@
 }
 
 std::string
-EncodeBook(const Book& aJobTable)
+EncodeJobTable(const JobTable& aJobTable)
 {
   return JobTableCodec::Write(aJobTable);
 }
 
-std::optional<Book>
-DecodeBook(const std::string& aBytes)
+std::optional<JobTable>
+DecodeJobTable(const std::string& aBytes)
 {
   return ReadPacked<schema::Jobs>(aBytes, [](schema::Jobs::Reader aFrom) {
     return JobTableCodec::Read(aFrom);
--- a/src/jobs/crash_loop.cpp
+++ b/src/jobs/crash_loop.cpp
@@ -49,20 +49,21 @@
 CountRunningOrConcurrent(const std::vector<WorkerLoss>& aLosses)
 {
   return Count(aLosses, CrashEvidence::kRunning) +
-         Count(aLosses, CrashEvidence::kShared);
+         Count(aLosses, CrashEvidence::kConcurrent);
 }
 
 int
 WeightOf(CrashEvidence aEvidence)
 {
-  return aEvidence == CrashEvidence::kShared ? 0 : static_cast<int>(aEvidence);
+  return aEvidence == CrashEvidence::kConcurrent ? 0
+                                                 : static_cast<int>(aEvidence);
 }
 
 std::size_t
 CountAtStart(const std::vector<WorkerLoss>& aLosses)
 {
   return Count(aLosses, CrashEvidence::kStarting) +
-         Count(aLosses, CrashEvidence::kAlone);
+         Count(aLosses, CrashEvidence::kIsolated);
 }
 
 } // namespace
@@ -77,9 +78,9 @@
       return "was running";
     case CrashEvidence::kStarting:
       return "had just started";
-    case CrashEvidence::kAlone:
+    case CrashEvidence::kIsolated:
       return "had just started, alone";
-    case CrashEvidence::kShared:
+    case CrashEvidence::kConcurrent:
       return "was running, other workers were lost as well";
   }
   return "unknown";
@@ -134,7 +135,7 @@
 // workers are idle. With four losses a task runs by itself, and the next loss
 // in that isolated run is the proof.
 bool
-MayBeTriedTogether(const std::vector<WorkerLoss>& aLosses)
+CanBeIsolatedTogether(const std::vector<WorkerLoss>& aLosses)
 {
   return IsSuspect(aLosses) && aLosses.size() <= kMaxLossesIsolatedTogether &&
          CountRunningOrConcurrent(aLosses) == aLosses.size();
@@ -144,20 +145,20 @@
 // the worker with a task that crashes its workers later in the run, or may be
 // such a task itself.
 bool
-IsTriedThroughout(const std::vector<WorkerLoss>& aLosses)
+IsIsolatedForWholeRun(const std::vector<WorkerLoss>& aLosses)
 {
   return IsSuspect(aLosses) && (Count(aLosses, CrashEvidence::kStarting) == 0 ||
                                 aLosses.size() >= kMinLossesOfSuspect);
 }
 
 bool
-NeedsCalm(const std::vector<WorkerLoss>& aLosses)
+NeedsQuietPeriod(const std::vector<WorkerLoss>& aLosses)
 {
   return aLosses.size() >= kMinLossesForQuietPeriod;
 }
 
 bool
-WasLostOn(const std::vector<WorkerLoss>& aLosses, const InstanceId& aInstance)
+HasLossOn(const std::vector<WorkerLoss>& aLosses, const InstanceId& aInstance)
 {
   return std::any_of(
     aLosses.begin(), aLosses.end(), [&](const WorkerLoss& aLoss) {
@@ -166,9 +167,9 @@
 }
 
 bool
-IsProven(const std::vector<WorkerLoss>& aLosses)
+IsProvenCrasher(const std::vector<WorkerLoss>& aLosses)
 {
-  const std::size_t proofs = Count(aLosses, CrashEvidence::kAlone);
+  const std::size_t proofs = Count(aLosses, CrashEvidence::kIsolated);
   return proofs >= kProofs ||
          (proofs > 0 &&
           (aLosses.size() >= kMinLossesWithOneProof ||
--- a/src/jobs/spec_codec.cpp
+++ b/src/jobs/spec_codec.cpp
@@ -10,9 +10,9 @@
 Write(const StepSpec& aStep, schema::StepSpec::Builder aTo)
 {
   aTo.setCount(aStep.m_count);
-  aTo.setCpuMillis(aStep.m_needs.m_cpuMillis);
-  aTo.setMemoryMb(aStep.m_needs.m_memoryMb);
-  aTo.setAccelerators(aStep.m_needs.m_accelerators);
+  aTo.setCpuMillis(aStep.m_resources.m_cpuMillis);
+  aTo.setMemoryMb(aStep.m_resources.m_memoryMb);
+  aTo.setAccelerators(aStep.m_resources.m_accelerators);
   aTo.setEstimateMs(aStep.m_estimate.count());
   auto depends =
     aTo.initDependsOn(static_cast<unsigned>(aStep.m_dependsOn.size()));
@@ -24,7 +24,7 @@
   aTo.setSameRack(aStep.m_sameRack);
   aTo.setSpeculative(aStep.m_speculative);
   aTo.setLongRunning(aStep.m_longRunning);
-  aTo.setFills(aStep.m_fills);
+  aTo.setFills(aStep.m_bestEffort);
   aTo.setRequiredLabel(aStep.m_requiredLabel);
   aTo.setPreferredRack(aStep.m_preferredRack.Get());
   aTo.setMaxPerWorker(aStep.m_maxPerWorker);
@@ -39,9 +39,9 @@
 {
   StepSpec step;
   step.m_count = aFrom.getCount();
-  step.m_needs = { aFrom.getCpuMillis(),
-                   aFrom.getMemoryMb(),
-                   aFrom.getAccelerators() };
+  step.m_resources = { aFrom.getCpuMillis(),
+                       aFrom.getMemoryMb(),
+                       aFrom.getAccelerators() };
   step.m_estimate = Millis{ aFrom.getEstimateMs() };
   for (const std::uint32_t earlier : aFrom.getDependsOn()) {
     step.m_dependsOn.push_back(earlier);
@@ -51,7 +51,7 @@
   step.m_sameRack = aFrom.getSameRack();
   step.m_speculative = aFrom.getSpeculative();
   step.m_longRunning = aFrom.getLongRunning();
-  step.m_fills = aFrom.getFills();
+  step.m_bestEffort = aFrom.getFills();
   step.m_requiredLabel = Text(aFrom.getRequiredLabel());
   step.m_preferredRack = RackId{ Text(aFrom.getPreferredRack()) };
   step.m_maxPerWorker = aFrom.getMaxPerWorker();
--- a/src/json/fields.cpp
+++ b/src/json/fields.cpp
@@ -5,7 +5,7 @@
 namespace bamboostile::json {
 
 std::string
-ToJson(const BadField& aInvalid)
+ToJson(const InvalidField& aInvalid)
 {
   return Json{
     { "field", aInvalid.m_field }, { "allowed", aInvalid.m_allowed }
@@ -15,7 +15,7 @@
 void
 Reject(const std::string& aField, const std::string& aAllowed)
 {
-  throw Wrong{ { aField, aAllowed } };
+  throw InvalidFieldError{ { aField, aAllowed } };
 }
 
 Json
@@ -50,10 +50,10 @@
 }
 
 std::int64_t
-Whole(const Json& aValue,
-      const std::string& aField,
-      std::int64_t aMin,
-      std::int64_t aMax)
+IntegerOf(const Json& aValue,
+          const std::string& aField,
+          std::int64_t aMin,
+          std::int64_t aMax)
 {
   const bool isInteger = aValue.is_number_integer();
   const bool tooLarge =
@@ -72,11 +72,11 @@
 CountOf(const Json& aValue, const char* aField)
 {
   return static_cast<std::uint32_t>(
-    Whole(aValue, aField, 0, std::numeric_limits<std::uint32_t>::max()));
+    IntegerOf(aValue, aField, 0, std::numeric_limits<std::uint32_t>::max()));
 }
 
 std::string
-TextOf(const Json& aValue, const char* aField)
+StringOf(const Json& aValue, const char* aField)
 {
   if (!aValue.is_string()) {
     Reject(aField, "a string");
@@ -85,10 +85,10 @@
 }
 
 std::int64_t
-WholeAt(const Json& aObject, const char* aKey)
+IntegerAt(const Json& aObject, const char* aKey)
 {
   const Json* value = Find(aObject, aKey);
-  return value == nullptr ? 0 : Whole(*value, aKey, 0, kMaxWhole);
+  return value == nullptr ? 0 : IntegerOf(*value, aKey, 0, kMaxInteger);
 }
 
 std::uint32_t
@@ -101,7 +101,7 @@
 Millis
 MillisAt(const Json& aObject, const char* aKey)
 {
-  return Millis{ WholeAt(aObject, aKey) };
+  return Millis{ IntegerAt(aObject, aKey) };
 }
 
 double
@@ -118,7 +118,7 @@
 }
 
 bool
-FlagAt(const Json& aObject, const char* aKey, bool aDefault)
+BoolAt(const Json& aObject, const char* aKey, bool aDefault)
 {
   const Json* value = Find(aObject, aKey);
   if (value == nullptr) {
@@ -131,16 +131,16 @@
 }
 
 std::string
-TextAt(const Json& aObject, const char* aKey)
+StringAt(const Json& aObject, const char* aKey)
 {
   const Json* value = Find(aObject, aKey);
-  return value == nullptr ? std::string{} : TextOf(*value, aKey);
+  return value == nullptr ? std::string{} : StringOf(*value, aKey);
 }
 
 std::string
-NameAt(const Json& aObject, const char* aKey)
+NonEmptyStringAt(const Json& aObject, const char* aKey)
 {
-  std::string name = TextAt(aObject, aKey);
+  std::string name = StringAt(aObject, aKey);
   if (name.empty()) {
     Reject(aKey, "a string that is not empty");
   }
--- a/src/membership/registry.cpp
+++ b/src/membership/registry.cpp
@@ -65,9 +65,9 @@
 }
 
 void
-Registry::OnAlive(const InstanceId& aInstance,
-                  Incarnation aIncarnation,
-                  TimePoint aNow)
+Registry::OnAnnouncement(const InstanceId& aInstance,
+                         Incarnation aIncarnation,
+                         TimePoint aNow)
 {
   m_lastReportAt[RenewalKey(aInstance, aIncarnation)] = aNow;
 }
@@ -86,7 +86,7 @@
 }
 
 bool
-Registry::IsEmpty(const fleet::Instance& aInstance, TimePoint aNow) const
+Registry::IsDrained(const fleet::Instance& aInstance, TimePoint aNow) const
 {
   if (!InForce(aInstance.m_modified, aNow) || aNow < m_orphansUntil) {
     return false;
--- a/src/placement/capacity.cpp
+++ b/src/placement/capacity.cpp
@@ -33,17 +33,17 @@
 };
 
 RunUsage
-ComputeRunUsage(const jobs::Book& aBook, const WorkerLife& aWorker)
+ComputeRunUsage(const jobs::JobTable& aBook, const WorkerIncarnation& aWorker)
 {
   RunUsage usage;
-  const auto placed = aBook.Placed().find(aWorker);
-  if (placed == aBook.Placed().end()) {
+  const auto placed = aBook.TasksByWorker().find(aWorker);
+  if (placed == aBook.TasksByWorker().end()) {
     return usage;
   }
   for (const jobs::TaskRef& task : placed->second) {
     const jobs::StepSpec& step =
       aBook.Find(task.m_job)->m_spec.m_steps[task.m_step];
-    usage.m_cpu += step.CountedCpu();
+    usage.m_cpu += step.ReservedCpu();
     usage.m_isDrainable = usage.m_isDrainable && !step.m_longRunning;
   }
   return usage;
@@ -53,12 +53,12 @@
 
 void
 CapacityPlanner::AddDemand(const fleet::State& aState,
-                           const Durations& aDurations,
+                           const DurationEstimator& aDurations,
                            WallTime aWall,
                            Pools& aPools) const
 {
   std::map<ServiceId, Demand> demands;
-  for (const auto& [order, id] : aState.Jobs().Open()) {
+  for (const auto& [order, id] : aState.Jobs().OpenJobs()) {
     const jobs::Job& job = *aState.Jobs().Find(id);
     const auto found = aState.RouteLookup().Find(job.m_queue);
     if (job.m_state == jobs::JobState::kActive && found) {
@@ -94,8 +94,8 @@
 CapacityPlanner::Pools
 CapacityPlanner::ComputePools(const fleet::State& aState,
                               const WorkerTable& aWorkers,
-                              const std::set<WorkerLife>& aReserved,
-                              const Durations& aDurations,
+                              const std::set<WorkerIncarnation>& aReserved,
+                              const DurationEstimator& aDurations,
                               TimePoint aNow,
                               WallTime aWall) const
 {
@@ -105,12 +105,12 @@
     pools[route.m_service];
   }
   for (const auto& [id, worker] : aWorkers.Workers()) {
-    const auto pool = pools.find(worker.m_last.m_service);
-    if (worker.m_silent || worker.m_last.m_draining) {
+    const auto pool = pools.find(worker.m_lastReport.m_service);
+    if (worker.m_isLost || worker.m_lastReport.m_draining) {
       continue;
     }
-    anyCores =
-      std::max<std::size_t>(anyCores, worker.m_last.m_capacity.m_cpuMillis);
+    anyCores = std::max<std::size_t>(
+      anyCores, worker.m_lastReport.m_capacity.m_cpuMillis);
     if (pool != pools.end()) {
       // A worker that maintenance is about to take down does not count: its
       // long-running tasks need capacity elsewhere before it can go down.
@@ -119,7 +119,7 @@
         m_options.m_mechanisms.Has(Mechanism::kReplacement);
       pool->second.m_actual += isReplaced ? 0 : 1;
       ++pool->second.m_reporting;
-      pool->second.m_cpu += worker.m_last.m_capacity.m_cpuMillis;
+      pool->second.m_cpu += worker.m_lastReport.m_capacity.m_cpuMillis;
       const RunUsage usage = ComputeRunUsage(aState.Jobs(), id);
       pool->second.m_usedCpu += usage.m_cpu;
       if (usage.m_isDrainable) {
@@ -152,7 +152,7 @@
 {
   std::erase_if(m_idleSince, [&](const auto& aEntry) {
     return aWorkers.Find(aEntry.first) == nullptr ||
-           aState.Jobs().Placed().contains(aEntry.first);
+           aState.Jobs().TasksByWorker().contains(aEntry.first);
   });
   // A report may come from a foreign writer. An instance whose service is not
   // configured does not belong to this fleet and is never moved.
@@ -164,9 +164,9 @@
       });
   };
   for (const auto& [id, worker] : aWorkers.Workers()) {
-    if (isConfigured(worker.m_last.m_service) &&
-        !aState.Jobs().Placed().contains(id) &&
-        worker.m_last.m_active.empty()) {
+    if (isConfigured(worker.m_lastReport.m_service) &&
+        !aState.Jobs().TasksByWorker().contains(id) &&
+        worker.m_lastReport.m_active.empty()) {
       m_idleSince.try_emplace(id, aNow);
     }
   }
@@ -186,13 +186,13 @@
     const auto& [instance, move] = aEntry;
     const bool isOff = aStandby != nullptr && move.m_to == *aStandby;
     if (isOff && move.m_isAccepted &&
-        aNow > move.m_since + m_options.m_moveTakes) {
+        aNow > move.m_since + m_options.m_moveDuration) {
       m_standby.emplace(instance, aNow);
       return true;
     }
     const Worker* worker = aWorkers.FindByInstance(instance);
     const bool hasArrived =
-      worker != nullptr && worker->m_last.m_service == move.m_to;
+      worker != nullptr && worker->m_lastReport.m_service == move.m_to;
     const bool isOver =
       move.m_isAnswered && aNow > move.m_since + m_options.m_arrivalTimeout;
     return hasArrived || isOver;
@@ -210,7 +210,7 @@
   if (aWorkers.KnowsAllLeases(aNow)) {
     return;
   }
-  for (const auto& [worker, tasks] : aState.Jobs().Placed()) {
+  for (const auto& [worker, tasks] : aState.Jobs().TasksByWorker()) {
     if (aWorkers.Find(worker) != nullptr || tasks.empty()) {
       continue;
     }
@@ -233,16 +233,17 @@
                           TimePoint aNow) const
 {
   return !aRecord.IsInherited(aInstance) ||
-         aNow >= m_leaderSince + m_options.m_betweenLeaders ||
-         aNow >= aUpSince + m_options.m_betweenLeaders - m_options.m_moveTakes;
+         aNow >= m_leaderSince + m_options.m_handoverDelay ||
+         aNow >=
+           aUpSince + m_options.m_handoverDelay - m_options.m_moveDuration;
 }
 
 std::vector<const Worker*>
 CapacityPlanner::FindMovable(const WorkerTable& aWorkers,
-                             const std::set<WorkerLife>& aReserved,
+                             const std::set<WorkerIncarnation>& aReserved,
                              const OrderRecord& aRecord,
                              Duration aIdleFor,
-                             const std::set<WorkerLife>& aDraining,
+                             const std::set<WorkerIncarnation>& aDraining,
                              TimePoint aNow) const
 {
   std::vector<const Worker*> movable;
@@ -250,13 +251,15 @@
     const Worker* worker = aWorkers.Find(id);
     const bool isIdle = aNow >= since + aIdleFor || aDraining.contains(id);
     if (isIdle && worker->IsUsable(aNow) &&
-        !aWorkers.IsContested(worker->m_last.m_instance) &&
-        CanOrder(
-          worker->m_last.m_instance, aRecord, worker->m_firstHeardAt, aNow) &&
+        !aWorkers.IsAmbiguous(worker->m_lastReport.m_instance) &&
+        CanOrder(worker->m_lastReport.m_instance,
+                 aRecord,
+                 worker->m_firstReportAt,
+                 aNow) &&
         !aReserved.contains(id) &&
-        !IsBackingOff(worker->m_last.m_instance, aNow) &&
-        !worker->m_last.m_instance.Get().empty() &&
-        !m_moves.contains(worker->m_last.m_instance)) {
+        !IsBackingOff(worker->m_lastReport.m_instance, aNow) &&
+        !worker->m_lastReport.m_instance.Get().empty() &&
+        !m_moves.contains(worker->m_lastReport.m_instance)) {
       movable.push_back(worker);
     }
   }
@@ -273,7 +276,7 @@
   Move& move = m_moves[aInstance];
   move = { aTo, aNow, std::nullopt, ++m_lastNumber };
   if (aWorker != nullptr) {
-    move.m_targetIncarnation = aWorker->m_last.m_worker;
+    move.m_targetIncarnation = aWorker->m_lastReport.m_worker;
   }
   m_orderTokens -= 1;
   m_unanswered.insert(move.m_number);
@@ -319,7 +322,7 @@
 }
 
 void
-CapacityPlanner::OnOtherOrders(std::size_t aCount)
+CapacityPlanner::OnMaintenanceOrders(std::size_t aCount)
 {
   m_orderTokens -= static_cast<double>(aCount);
 }
@@ -328,7 +331,7 @@
 CapacityPlanner::HasOrderBudget() const
 {
   return m_isAllowed && m_orderTokens >= 1 &&
-         m_unanswered.size() < kMostOrdersUnderWay;
+         m_unanswered.size() < kMaxUnansweredOrders;
 }
 
 // Gives one instance at a time to the pool with the smallest ratio of actual to
@@ -336,7 +339,7 @@
 // Instances in standby are moved first, as no other queue needs them.
 void
 CapacityPlanner::FillPools(const WorkerTable& aWorkers,
-                           const std::set<WorkerLife>& aReserved,
+                           const std::set<WorkerIncarnation>& aReserved,
                            const OrderRecord& aRecord,
                            TimePoint aNow,
                            Pools& aPools,
@@ -349,7 +352,7 @@
                              m_drainingWorkers,
                              aNow);
   const auto isSurplus = [&](const Worker* aWorker) {
-    const auto pool = aPools.find(aWorker->m_last.m_service);
+    const auto pool = aPools.find(aWorker->m_lastReport.m_service);
     return pool == aPools.end() || pool->second.HasSurplus();
   };
   const auto isNeedier = [](const auto& aLeft, const auto& aRight) {
@@ -372,12 +375,13 @@
     if (next == movable.end()) {
       return;
     }
-    const auto from = aPools.find((*next)->m_last.m_service);
+    const auto from = aPools.find((*next)->m_lastReport.m_service);
     if (from != aPools.end()) {
       --from->second.m_actual;
     }
     ++neediest->second.m_actual;
-    Order((*next)->m_last.m_instance, *next, neediest->first, aNow, aPlan);
+    Order(
+      (*next)->m_lastReport.m_instance, *next, neediest->first, aNow, aPlan);
     movable.erase(next);
   }
 }
@@ -387,7 +391,7 @@
 // more. Surplus instances therefore get no new tasks: the remaining ones run on
 // the other instances, and the surplus is free as soon as its own runs end.
 void
-CapacityPlanner::DrainSurplus(const std::set<WorkerLife>& aReserved,
+CapacityPlanner::DrainSurplus(const std::set<WorkerIncarnation>& aReserved,
                               TimePoint aNow,
                               Pools& aPools)
 {
@@ -401,7 +405,7 @@
   }
   for (auto& [service, pool] : aPools) {
     std::erase_if(pool.m_drainable, [&](const Drainable& aCandidate) {
-      const WorkerReport& report = aCandidate.m_worker->m_last;
+      const WorkerReport& report = aCandidate.m_worker->m_lastReport;
       return aReserved.contains(report.m_worker) ||
              m_moves.contains(report.m_instance) ||
              !aCandidate.m_worker->IsUsable(aNow);
@@ -416,7 +420,8 @@
     const std::size_t count =
       std::min({ surplus, shortage, pool.m_drainable.size() });
     for (std::size_t i = 0; i < count; ++i) {
-      m_drainingWorkers.insert(pool.m_drainable[i].m_worker->m_last.m_worker);
+      m_drainingWorkers.insert(
+        pool.m_drainable[i].m_worker->m_lastReport.m_worker);
     }
     shortage -= count;
   }
@@ -425,7 +430,7 @@
 void
 CapacityPlanner::MoveIdleToStandby(const ServiceId& aStandby,
                                    const WorkerTable& aWorkers,
-                                   const std::set<WorkerLife>& aReserved,
+                                   const std::set<WorkerIncarnation>& aReserved,
                                    const OrderRecord& aRecord,
                                    TimePoint aNow,
                                    Pools& aPools,
@@ -434,10 +439,10 @@
   const auto idle = FindMovable(
     aWorkers, aReserved, aRecord, m_options.m_idleBeforeStandby, {}, aNow);
   for (const Worker* worker : idle) {
-    Pool& pool = aPools[worker->m_last.m_service];
+    Pool& pool = aPools[worker->m_lastReport.m_service];
     if (pool.HasSurplus() && HasOrderBudget()) {
       --pool.m_actual;
-      Order(worker->m_last.m_instance, worker, aStandby, aNow, aPlan);
+      Order(worker->m_lastReport.m_instance, worker, aStandby, aNow, aPlan);
     }
   }
 }
@@ -445,8 +450,8 @@
 CapacityPlan
 CapacityPlanner::Next(const fleet::State& aState,
                       const WorkerTable& aWorkers,
-                      const std::set<WorkerLife>& aReserved,
-                      const Durations& aDurations,
+                      const std::set<WorkerIncarnation>& aReserved,
+                      const DurationEstimator& aDurations,
                       const OrderRecord& aRecord,
                       TimePoint aNow,
                       WallTime aWall)
@@ -460,7 +465,7 @@
   Pools pools =
     ComputePools(aState, aWorkers, aReserved, aDurations, aNow, aWall);
   for (const auto& [service, pool] : pools) {
-    plan.m_needs.push_back({ service,
+    plan.m_pools.push_back({ service,
                              pool.m_actual,
                              pool.m_desired,
                              pool.m_work / kMilliPerCoreSecond,
@@ -471,7 +476,7 @@
     FillPools(aWorkers, aReserved, aRecord, aNow, pools, plan);
     DrainSurplus(aReserved, aNow, pools);
   }
-  const bool isSettled = aNow >= m_leaderSince + m_options.m_betweenLeaders;
+  const bool isSettled = aNow >= m_leaderSince + m_options.m_handoverDelay;
   if (isSettled && standby != nullptr &&
       m_options.m_mechanisms.Has(Mechanism::kStandby)) {
     MoveIdleToStandby(
@@ -479,7 +484,7 @@
   }
   for (const auto& [instance, move] : m_moves) {
     if (const Worker* worker = aWorkers.FindByInstance(instance)) {
-      plan.m_cordoned.insert(worker->m_last.m_worker);
+      plan.m_cordoned.insert(worker->m_lastReport.m_worker);
     }
   }
   plan.m_cordoned.insert(m_drainingWorkers.begin(), m_drainingWorkers.end());
@@ -501,7 +506,7 @@
   }
 }
 
-std::optional<WorkerLife>
+std::optional<WorkerIncarnation>
 CapacityPlanner::OnAnswer(const MoveOrder& aOrder,
                           InstanceAnswer aAnswer,
                           TimePoint aNow)
@@ -517,7 +522,7 @@
     m_moves.erase(move);
     return std::nullopt;
   }
-  if (aAnswer == InstanceAnswer::kTaken) {
+  if (aAnswer == InstanceAnswer::kAccepted) {
     m_standby.erase(aOrder.m_instance);
     move->second.m_isAccepted = true;
     return move->second.m_targetIncarnation;
--- a/src/placement/demand.cpp
+++ b/src/placement/demand.cpp
@@ -24,7 +24,7 @@
 {
   const std::int64_t remaining =
     static_cast<std::int64_t>(aRun.m_tasks.size()) - aRun.m_done;
-  return remaining * aStep.CountedCpu();
+  return remaining * aStep.ReservedCpu();
 }
 
 } // namespace
@@ -42,7 +42,7 @@
 void
 Demand::AddLongRunning(const jobs::StepSpec& aStep)
 {
-  m_longRunningCpu += std::int64_t{ aStep.m_count } * aStep.CountedCpu();
+  m_longRunningCpu += std::int64_t{ aStep.m_count } * aStep.ReservedCpu();
   const std::size_t minWorkers =
     aStep.m_maxPerWorker == 0
       ? 1
@@ -61,7 +61,7 @@
       for (std::uint32_t i = 0; i < run.m_tasks.size(); ++i) {
         const auto losses = jobs::LossesOf(aJob.m_spec.m_steps[s], run, i);
         const bool needsIsolation =
-          jobs::IsSuspect(losses) && !jobs::MayBeTriedTogether(losses);
+          jobs::IsSuspect(losses) && !jobs::CanBeIsolatedTogether(losses);
         const bool isDone = run.m_tasks[i].m_phase == jobs::TaskPhase::kDone;
         m_isolatedRuns += needsIsolation && !isDone ? 1 : 0;
       }
@@ -75,7 +75,7 @@
 void
 Demand::Add(const jobs::Job& aJob,
             const jobs::Occurrence& aOccurrence,
-            const Durations& aDurations,
+            const DurationEstimator& aDurations,
             Load& aLoad)
 {
   std::int64_t activeCpu = 0;
@@ -88,7 +88,7 @@
     }
     const std::int64_t cpu = RemainingCpu(step, aOccurrence.m_steps[s]);
     aLoad.m_work += cpu * aDurations.Estimate(step).count();
-    if (jobs::Book::IsTurn(aOccurrence, step)) {
+    if (jobs::JobTable::AreDependenciesDone(aOccurrence, step)) {
       activeCpu += cpu;
     } else {
       nextCpu = std::max(nextCpu, cpu);
@@ -100,7 +100,7 @@
 void
 Demand::Add(const jobs::Job& aJob,
             const fleet::QueueRoute& aRoute,
-            const Durations& aDurations,
+            const DurationEstimator& aDurations,
             WallTime aWall)
 {
   const std::int64_t age = aWall.Get() - aJob.m_acceptedAt.Get();
--- a/src/placement/demand.h
+++ b/src/placement/demand.h
@@ -33,7 +33,7 @@
 
   void Add(const jobs::Job& aJob,
            const fleet::QueueRoute& aRoute,
-           const Durations& aDurations,
+           const DurationEstimator& aDurations,
            WallTime aWall);
 
   void AddIsolatedRuns(const jobs::Job& aJob);
@@ -43,7 +43,7 @@
   /** Adds tasks that end by themselves to aLoad, long-running ones to this. */
   void Add(const jobs::Job& aJob,
            const jobs::Occurrence& aOccurrence,
-           const Durations& aDurations,
+           const DurationEstimator& aDurations,
            Load& aLoad);
 };
 
--- a/src/placement/durations.cpp
+++ b/src/placement/durations.cpp
@@ -13,7 +13,7 @@
 } // namespace
 
 void
-Durations::Learn(const jobs::StepSpec& aStep, Duration aDuration)
+DurationEstimator::Record(const jobs::StepSpec& aStep, Duration aDuration)
 {
   ImageStatistics& statistics = m_statistics[aStep.m_image];
   const auto durationMs = static_cast<double>(ToMillis(aDuration).count());
@@ -23,7 +23,7 @@
 }
 
 Millis
-Durations::Estimate(const jobs::StepSpec& aStep) const
+DurationEstimator::Estimate(const jobs::StepSpec& aStep) const
 {
   const auto found = m_statistics.find(aStep.m_image);
   if (aStep.m_image.Get().empty() || found == m_statistics.end()) {
--- a/src/placement/load_shedder.cpp
+++ b/src/placement/load_shedder.cpp
@@ -18,14 +18,14 @@
 } // namespace
 
 const char*
-Describe(Shedding aLevel) noexcept
+Describe(SheddingLevel aLevel) noexcept
 {
   switch (aLevel) {
-    case Shedding::kNothing:
+    case SheddingLevel::kNone:
       return "nothing";
-    case Shedding::kInstances:
+    case SheddingLevel::kInstances:
       return "orders for instances";
-    case Shedding::kPlacing:
+    case SheddingLevel::kPlacement:
       return "orders for instances and passes of placing";
   }
   return "unknown";
@@ -43,13 +43,13 @@
 }
 
 void
-LoadShedder::OnWaited(Duration aWaited, TimePoint aNow)
+LoadShedder::RecordWait(Duration aWaited, TimePoint aNow)
 {
   AdvanceWindow(aNow);
   m_current.m_maxWait = std::max(m_current.m_maxWait, aWaited);
 }
 
-Shedding
+SheddingLevel
 LoadShedder::Level(TimePoint aNow) const
 {
   const auto maxWaitOf = [&](const Window& aWindow) {
@@ -59,20 +59,21 @@
   const Duration maxWait =
     std::max(maxWaitOf(m_current), maxWaitOf(m_previous));
   if (maxWait >= kVeryHighWait) {
-    return Shedding::kPlacing;
+    return SheddingLevel::kPlacement;
   }
-  return maxWait >= kHighWait ? Shedding::kInstances : Shedding::kNothing;
+  return maxWait >= kHighWait ? SheddingLevel::kInstances
+                              : SheddingLevel::kNone;
 }
 
 int
-ReportStretch(Shedding aLevel) noexcept
+ReportIntervalFactor(SheddingLevel aLevel) noexcept
 {
   switch (aLevel) {
-    case Shedding::kNothing:
+    case SheddingLevel::kNone:
       return 1;
-    case Shedding::kInstances:
+    case SheddingLevel::kInstances:
       return 2;
-    case Shedding::kPlacing:
+    case SheddingLevel::kPlacement:
       return 4;
   }
   return 1;
--- a/src/placement/maintenance.cpp
+++ b/src/placement/maintenance.cpp
@@ -11,22 +11,23 @@
 
 std::size_t
 CountTasks(const InstanceId& aInstance,
-           const jobs::Book& aBook,
+           const jobs::JobTable& aBook,
            const WorkerTable& aWorkers)
 {
   const Worker* worker = aWorkers.FindByInstance(aInstance);
   if (worker == nullptr) {
     return 0;
   }
-  const auto placed = aBook.Placed().find(worker->m_last.m_worker);
-  return placed == aBook.Placed().end() ? 0 : placed->second.size();
+  const auto placed = aBook.TasksByWorker().find(worker->m_lastReport.m_worker);
+  return placed == aBook.TasksByWorker().end() ? 0 : placed->second.size();
 }
 
 bool
-HasLongRunningTask(const WorkerLife& aWorker, const jobs::Book& aBook)
+HasLongRunningTask(const WorkerIncarnation& aWorker,
+                   const jobs::JobTable& aBook)
 {
-  const auto placed = aBook.Placed().find(aWorker);
-  if (placed == aBook.Placed().end()) {
+  const auto placed = aBook.TasksByWorker().find(aWorker);
+  if (placed == aBook.TasksByWorker().end()) {
     return false;
   }
   return std::any_of(
@@ -43,13 +44,13 @@
 Describe(InstanceAnswer aAnswer) noexcept
 {
   switch (aAnswer) {
-    case InstanceAnswer::kTaken:
+    case InstanceAnswer::kAccepted:
       return "taken";
     case InstanceAnswer::kBusy:
       return "the instance is busy";
-    case InstanceAnswer::kNotMeant:
+    case InstanceAnswer::kNotApplicable:
       return "not applicable to the instance";
-    case InstanceAnswer::kOvertaken:
+    case InstanceAnswer::kSuperseded:
       return "superseded by a later leader";
     case InstanceAnswer::kNotSent:
       return "abandoned before it was sent";
@@ -90,7 +91,7 @@
                             const WorkerTable& aWorkers,
                             TimePoint aNow) const
 {
-  if (!aStep.m_cordonedSince || aWorkers.IsContested(aInstance)) {
+  if (!aStep.m_cordonedSince || aWorkers.IsAmbiguous(aInstance)) {
     return false;
   }
   const Worker* worker = aWorkers.FindByInstance(aInstance);
@@ -99,11 +100,11 @@
   if (worker == nullptr) {
     return hasTimedOut && aWorkers.KnowsAllLeases(aNow);
   }
-  if (HasLongRunningTask(worker->m_last.m_worker, aState.Jobs())) {
+  if (HasLongRunningTask(worker->m_lastReport.m_worker, aState.Jobs())) {
     return false;
   }
   const bool isEmpty = CountTasks(aInstance, aState.Jobs(), aWorkers) == 0 &&
-                       worker->m_last.m_active.empty();
+                       worker->m_lastReport.m_active.empty();
   return isEmpty || hasTimedOut;
 }
 
@@ -161,15 +162,15 @@
                                 MaintenancePlan& aPlan)
 {
   const Worker* worker = aWorkers.FindByInstance(aOrder.m_instance);
-  const auto& incarnations = aWorkers.LivesOf(aOrder.m_instance);
+  const auto& incarnations = aWorkers.IncarnationsOf(aOrder.m_instance);
   aPlan.m_cordoned.insert(incarnations.begin(), incarnations.end());
   const bool mayOrder =
-    aNow >= aWorkers.LeaderSince() + m_options.m_quietAfterElection;
+    aNow >= aWorkers.LeaderSince() + m_options.m_maxOrderDelay;
   const bool isDrained =
     worker == nullptr
       ? aWorkers.KnowsAllLeases(aNow)
-      : !HasLongRunningTask(worker->m_last.m_worker, aState.Jobs());
-  if (mayOrder && isDrained && !aWorkers.IsContested(aOrder.m_instance) &&
+      : !HasLongRunningTask(worker->m_lastReport.m_worker, aState.Jobs());
+  if (mayOrder && isDrained && !aWorkers.IsAmbiguous(aOrder.m_instance) &&
       aNow >= aStep.m_notBefore) {
     aPlan.m_orders.push_back(aOrder);
   }
@@ -187,11 +188,11 @@
                              MaintenancePlan& aPlan)
 {
   const Worker* worker = aWorkers.FindByInstance(aOrder.m_instance);
-  const bool hasReported =
-    worker != nullptr && !worker->m_silent && worker->m_heardAt > aStep.m_since;
+  const bool hasReported = worker != nullptr && !worker->m_isLost &&
+                           worker->m_lastReportAt > aStep.m_since;
   const bool isConclusive =
-    hasReported &&
-    worker->m_heardAt > aStep.m_since + aWorkers.Options().m_lateReports;
+    hasReported && worker->m_lastReportAt >
+                     aStep.m_since + aWorkers.Options().m_maxReportDelay;
   if (isConclusive || aStep.m_isListedUp) {
     aPlan.m_advances.push_back(
       { { aOrder.m_wave, aOrder.m_instance, fleet::MaintenanceStep::kDone },
@@ -200,9 +201,9 @@
     return;
   }
   const bool isExpected =
-    hasReported || aNow >= aStep.m_since + m_options.m_takes;
-  aPlan.m_wantsList =
-    aPlan.m_wantsList ||
+    hasReported || aNow >= aStep.m_since + m_options.m_expectedDowntime;
+  aPlan.m_needsInstanceList =
+    aPlan.m_needsInstanceList ||
     (isExpected && aNow < aStep.m_since + m_options.m_listPollWindow);
 }
 
@@ -238,7 +239,7 @@
   for (const InstanceId& instance : waiting) {
     Waiting& step = stepOf(instance);
     step.m_cordonedSince = step.m_cordonedSince.value_or(aNow);
-    const auto& incarnations = aWorkers.LivesOf(instance);
+    const auto& incarnations = aWorkers.IncarnationsOf(instance);
     aPlan.m_cordoned.insert(incarnations.begin(), incarnations.end());
     if (!aCaps.CanTakeDown(instance) ||
         !IsReady(instance, step, aState, aWorkers, aNow)) {
@@ -247,9 +248,9 @@
     aCaps.MarkDown(instance);
     const Worker* worker = aWorkers.FindByInstance(instance);
     step.m_isScheduled = true;
-    step.m_targetIncarnation = worker == nullptr
-                                 ? std::nullopt
-                                 : std::optional{ worker->m_last.m_worker };
+    step.m_targetIncarnation =
+      worker == nullptr ? std::nullopt
+                        : std::optional{ worker->m_lastReport.m_worker };
     aPlan.m_advances.push_back(
       { { aWave.m_number, instance, fleet::MaintenanceStep::kOrdered },
         AdvanceCause::kScheduled });
@@ -264,7 +265,7 @@
                              WaveCaps& aCaps,
                              MaintenancePlan& aPlan)
 {
-  aPlan.m_isOpen = true;
+  aPlan.m_hasOpenWave = true;
   for (const auto& [instance, state] : aWave.m_instances) {
     const MaintenanceOrder order{ aWave.m_number, instance };
     const auto step = m_steps.find(order);
@@ -281,7 +282,7 @@
                            } },
                step->second);
   }
-  if (aNow >= aWorkers.LeaderSince() + m_options.m_quietAfterElection) {
+  if (aNow >= aWorkers.LeaderSince() + m_options.m_maxOrderDelay) {
     ScheduleWaiting(aWave, aState, aWorkers, aNow, aCaps, aPlan);
   }
 }
@@ -328,8 +329,8 @@
       MaintenanceAdvance{ { aOrder.m_wave, aOrder.m_instance, aTo }, aCause };
   };
   switch (aAnswer) {
-    case InstanceAnswer::kTaken:
-      result.m_ended =
+    case InstanceAnswer::kAccepted:
+      result.m_endedIncarnation =
         aStep.m_isRepeated ? std::nullopt : aStep.m_targetIncarnation;
       advance(fleet::MaintenanceStep::kDown, AdvanceCause::kTaken);
       aStep.m_isRepeated = true;
@@ -339,7 +340,7 @@
         advance(fleet::MaintenanceStep::kWaiting, *cause);
       }
       break;
-    case InstanceAnswer::kNotMeant:
+    case InstanceAnswer::kNotApplicable:
       advance(fleet::MaintenanceStep::kSkipped, AdvanceCause::kNotMeant);
       break;
     case InstanceAnswer::kUnclear:
@@ -348,7 +349,7 @@
       aStep.m_isInOtherState = false;
       break;
     case InstanceAnswer::kNotSent:
-    case InstanceAnswer::kOvertaken:
+    case InstanceAnswer::kSuperseded:
       break;
   }
   return result;
@@ -387,8 +388,8 @@
       const bool isInOtherState =
         state == InstanceState::kMoving || state == InstanceState::kDown;
       ordered->m_isInOtherState =
-        isInOtherState && aList.m_askedAt >= ordered->m_lastUnclearAt +
-                                               m_options.m_quietAfterElection;
+        isInOtherState &&
+        aList.m_askedAt >= ordered->m_lastUnclearAt + m_options.m_maxOrderDelay;
     }
   }
 }
--- a/src/placement/order_record.cpp
+++ b/src/placement/order_record.cpp
@@ -28,7 +28,7 @@
 }
 
 std::vector<InstanceId>
-OrderRecord::TakeSettled(TimePoint aNow)
+OrderRecord::TakeExpired(TimePoint aNow)
 {
   std::vector<InstanceId> expired;
   if (aNow >= m_inheritedAt + m_minInterval) {
--- a/src/placement/plan_pacer.cpp
+++ b/src/placement/plan_pacer.cpp
@@ -16,9 +16,11 @@
 // batches arrive for each pass: workers would wait for their next task, and
 // part of a full pool would stay idle while tasks wait.
 void
-PlanPacer::OnPlanned(TimePoint aBegan, TimePoint aEnded, Shedding aShedding)
+PlanPacer::OnPassEnded(TimePoint aBegan,
+                       TimePoint aEnded,
+                       SheddingLevel aShedding)
 {
-  const int divisor = aShedding == Shedding::kPlacing
+  const int divisor = aShedding == SheddingLevel::kPlacement
                         ? kPassTimeDivisorWhenShedding
                         : kPassTimeDivisor;
   m_notBefore = aEnded + (divisor - 1) * (aEnded - aBegan);
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -41,17 +41,17 @@
 bool
 Planner::Target::Fits(const jobs::StepSpec& aStep) const
 {
-  return !m_isUnresponsive && aStep.CountedCpu() <= m_freeCpuMillis &&
-         aStep.m_needs.m_memoryMb <= m_freeMemoryMb &&
-         aStep.m_needs.m_accelerators <= m_freeAccelerators;
+  return !m_isUnresponsive && aStep.ReservedCpu() <= m_freeCpuMillis &&
+         aStep.m_resources.m_memoryMb <= m_freeMemoryMb &&
+         aStep.m_resources.m_accelerators <= m_freeAccelerators;
 }
 
 void
 Planner::Target::Allocate(const jobs::StepSpec& aStep)
 {
-  m_freeCpuMillis -= aStep.CountedCpu();
-  m_freeMemoryMb -= aStep.m_needs.m_memoryMb;
-  m_freeAccelerators -= aStep.m_needs.m_accelerators;
+  m_freeCpuMillis -= aStep.ReservedCpu();
+  m_freeMemoryMb -= aStep.m_resources.m_memoryMb;
+  m_freeAccelerators -= aStep.m_resources.m_accelerators;
   m_hostsLatencySensitive =
     m_hostsLatencySensitive || aStep.m_latencyTarget > Millis::zero();
   m_hostsLongRunning = m_hostsLongRunning || aStep.m_longRunning;
@@ -84,26 +84,27 @@
 Planner::Pools
 Planner::FindTargets(const fleet::State& aState,
                      const WorkerTable& aWorkers,
-                     const std::set<WorkerLife>& aCordoned,
+                     const std::set<WorkerIncarnation>& aCordoned,
                      TimePoint aNow) const
 {
   Pools pools;
-  const jobs::Book& book = aState.Jobs();
+  const jobs::JobTable& book = aState.Jobs();
   const bool hasSuspects = book.HasSuspects();
   for (const auto& [id, worker] : aWorkers.Workers()) {
     if (!worker.IsUsable(aNow) || aCordoned.contains(id) ||
-        worker.m_strayUse.m_isUnknown || aWorkers.HasLaterLife(worker)) {
+        worker.m_reservedByUntracked.m_isUnknown ||
+        aWorkers.HasLaterIncarnation(worker)) {
       continue;
     }
-    const jobs::Resources& capacity = worker.m_last.m_capacity;
-    const RoomUse& untrackedUse = worker.m_strayUse;
+    const jobs::Resources& capacity = worker.m_lastReport.m_capacity;
+    const ReservedCapacity& untrackedUse = worker.m_reservedByUntracked;
     Target target{ &worker,
                    capacity.m_cpuMillis - untrackedUse.m_cpuMillis,
                    capacity.m_memoryMb - untrackedUse.m_memoryMb,
                    capacity.m_accelerators - untrackedUse.m_accelerators };
-    target.m_isUnresponsive = aWorkers.IsInDoubt(worker, aNow);
-    const auto placed = book.Placed().find(id);
-    if (placed != book.Placed().end()) {
+    target.m_isUnresponsive = aWorkers.IsUnresponsive(worker, aNow);
+    const auto placed = book.TasksByWorker().find(id);
+    if (placed != book.TasksByWorker().end()) {
       for (const jobs::TaskRef& ref : placed->second) {
         const jobs::StepSpec& step =
           book.Find(ref.m_job)->m_spec.m_steps[ref.m_step];
@@ -113,7 +114,7 @@
         FindIsolatedRuns(worker, placed->second, book, target);
       }
     }
-    pools[worker.m_last.m_service].push_back(target);
+    pools[worker.m_lastReport.m_service].push_back(target);
   }
   return pools;
 }
@@ -144,10 +145,11 @@
   for (std::uint32_t stepIndex = 0; stepIndex < aJob.m_spec.m_steps.size();
        ++stepIndex) {
     const jobs::StepSpec& step = aJob.m_spec.m_steps[stepIndex];
-    const bool isReady = progress == nullptr
-                           ? step.m_dependsOn.empty()
-                           : progress->m_steps[stepIndex].Waiting() > 0 &&
-                               jobs::Book::IsTurn(*progress, step);
+    const bool isReady =
+      progress == nullptr
+        ? step.m_dependsOn.empty()
+        : progress->m_steps[stepIndex].Waiting() > 0 &&
+            jobs::JobTable::AreDependenciesDone(*progress, step);
     if (isReady) {
       aCandidates.push_back({ &aJob,
                               &aRoute,
@@ -164,9 +166,9 @@
 Planner::FindCandidates(const fleet::State& aState, WallTime aWall) const
 {
   std::vector<Candidate> candidates;
-  const jobs::Book& book = aState.Jobs();
+  const jobs::JobTable& book = aState.Jobs();
   const fleet::RouteTable& routes = aState.Routes();
-  for (const auto& [order, id] : book.Open()) {
+  for (const auto& [order, id] : book.OpenJobs()) {
     const jobs::Job& job = *book.Find(id);
     const auto route = aState.RouteLookup().Find(job.m_queue);
     // A route with an advice policy lets the advice of a service decide which
@@ -209,7 +211,7 @@
 }
 
 std::uint32_t
-Planner::TasksOnWorker(const WorkerLife& aWorker,
+Planner::TasksOnWorker(const WorkerIncarnation& aWorker,
                        const TasksPerWorker& aTasksPerWorker)
 {
   const auto found = aTasksPerWorker.find(aWorker);
@@ -221,7 +223,7 @@
                    std::uint32_t aTasksOnWorker,
                    const Target& aTarget)
 {
-  const auto& labels = aTarget.m_worker->m_last.m_labels;
+  const auto& labels = aTarget.m_worker->m_lastReport.m_labels;
   return (aStep.m_requiredLabel.empty() ||
           labels.contains(aStep.m_requiredLabel)) &&
          (aStep.m_maxPerWorker == 0 || aTasksOnWorker < aStep.m_maxPerWorker);
@@ -235,7 +237,7 @@
   Target* best = nullptr;
   auto bestRank = std::make_tuple(true, true, true, true, true, std::int64_t{});
   for (Target& target : aPool) {
-    const WorkerReport& report = target.m_worker->m_last;
+    const WorkerReport& report = target.m_worker->m_lastReport;
     if (target.m_isReserved || target.m_isolatedJob != nullptr ||
         !target.Fits(aStep)) {
       continue;
@@ -248,13 +250,14 @@
     const bool isFarFromData = !aStep.m_preferredRack.Get().empty() &&
                                aStep.m_preferredRack != report.m_rack;
     // Best-effort tasks disturb tasks with a latency target on the same worker.
-    const bool interferes = aStep.m_fills && target.m_hostsLatencySensitive;
+    const bool interferes =
+      aStep.m_bestEffort && target.m_hostsLatencySensitive;
     // Long-running tasks are spread, so that the loss of one worker stops few
     // of them, but preferably over workers that already host some, or else run
     // something: one on each worker would keep the whole pool from ever being
     // idle. Other tasks are packed, so that free capacity for large tasks is
     // not fragmented.
-    const bool isSpread = aStep.m_longRunning || aStep.m_fills;
+    const bool isSpread = aStep.m_longRunning || aStep.m_bestEffort;
     const bool isCrowded = isSpread && tasksOnWorker >= SpreadLimit(aStep);
     const bool isEmpty =
       isSpread && m_mechanisms.Has(Mechanism::kSharing) &&
@@ -262,7 +265,7 @@
     const bool isNewHost = isSpread && m_mechanisms.Has(Mechanism::kSharing) &&
                            !target.m_hostsLongRunning;
     const bool isPacked = !isSpread && m_mechanisms.Has(Mechanism::kPacking);
-    const std::int64_t cpuLeft = target.m_freeCpuMillis - aStep.CountedCpu();
+    const std::int64_t cpuLeft = target.m_freeCpuMillis - aStep.ReservedCpu();
     const auto rank = std::make_tuple(isFarFromData,
                                       interferes,
                                       isCrowded,
@@ -301,14 +304,14 @@
     aPool.begin(), aPool.end(), [&](const Target& aLeft, const Target& aRight) {
       return rank(aLeft) < rank(aRight);
     });
-  const jobs::Resources& capacity = emptiest.m_worker->m_last.m_capacity;
-  const jobs::Resources& needs = aStep.m_needs;
+  const jobs::Resources& capacity = emptiest.m_worker->m_lastReport.m_capacity;
+  const jobs::Resources& needs = aStep.m_resources;
   // A worker whose capacity has shrunk may be too small even when empty.
-  if (!RoomUse{}.Leaves(capacity, aStep)) {
+  if (!ReservedCapacity{}.LeavesCapacityFor(capacity, aStep)) {
     return;
   }
   emptiest.m_isReserved =
-    aStep.CountedCpu() * kLargeTaskDivisor > capacity.m_cpuMillis ||
+    aStep.ReservedCpu() * kLargeTaskDivisor > capacity.m_cpuMillis ||
     needs.m_memoryMb * kLargeTaskDivisor > capacity.m_memoryMb ||
     needs.m_accelerators > 0;
 }
@@ -347,7 +350,7 @@
     }
     target->Allocate(step);
     ++target->m_unconfirmed;
-    const WorkerLife& worker = target->m_worker->m_last.m_worker;
+    const WorkerIncarnation& worker = target->m_worker->m_lastReport.m_worker;
     ++tasksPerWorker[worker];
     aPlan.m_changes.emplace_back(jobs::StartRun{
       { aCandidate.m_job->m_id, aCandidate.m_occurrence, aCandidate.m_step, i },
@@ -402,7 +405,7 @@
     if (aTimeSinceDelay) {
       target->AddIsolatedRunOf(*aCandidate.m_job, false);
     }
-    const WorkerLife& worker = target->m_worker->m_last.m_worker;
+    const WorkerIncarnation& worker = target->m_worker->m_lastReport.m_worker;
     ++tasksPerWorker[worker];
     starts.emplace_back(jobs::StartRun{
       { aCandidate.m_job->m_id, aCandidate.m_occurrence, aCandidate.m_step, i },
@@ -438,8 +441,8 @@
   // A draining worker leaves anyway, so the disruption budget does not apply.
   // But if another task of the step is being stopped, both would be down at
   // once.
-  return aFrom.m_last.m_draining ? !aWorkers.IsAnyStopping(job, aTask)
-                                 : aWorkers.MayDisrupt(job, aTask, aNow);
+  return aFrom.m_lastReport.m_draining ? !aWorkers.IsAnyStopping(job, aTask)
+                                       : aWorkers.MayDisrupt(job, aTask, aNow);
 }
 
 Planner::TasksPerWorker
@@ -460,16 +463,16 @@
 void
 Planner::MoveLongRunningTasks(const fleet::State& aState,
                               const WorkerTable& aWorkers,
-                              const std::set<WorkerLife>& aCordoned,
+                              const std::set<WorkerIncarnation>& aCordoned,
                               TimePoint aNow,
                               Pools& aPools,
                               Plan& aPlan) const
 {
-  const jobs::Book& book = aState.Jobs();
-  for (const auto& [worker, tasks] : book.Placed()) {
+  const jobs::JobTable& book = aState.Jobs();
+  for (const auto& [worker, tasks] : book.TasksByWorker()) {
     const Worker* from = aWorkers.Find(worker);
-    const bool leaves = from != nullptr &&
-                        (from->m_last.m_draining || aCordoned.contains(worker));
+    const bool leaves = from != nullptr && (from->m_lastReport.m_draining ||
+                                            aCordoned.contains(worker));
     if (!leaves) {
       continue;
     }
@@ -481,8 +484,9 @@
       const jobs::StepSpec& step = job.m_spec.m_steps[ref.m_step];
       const auto& tasksOfStep =
         job.m_occurrences.at(ref.m_occurrence).m_steps[ref.m_step].m_tasks;
-      Target* target = Choose(
-        step, CountTasksPerWorker(tasksOfStep), aPools[from->m_last.m_service]);
+      Target* target = Choose(step,
+                              CountTasksPerWorker(tasksOfStep),
+                              aPools[from->m_lastReport.m_service]);
       if (target != nullptr) {
         target->Allocate(step);
         aPlan.m_stops.push_back({ ref, book.FindTask(ref)->m_lastRun });
@@ -492,11 +496,11 @@
 }
 
 Plan
-Planner::Next(const fleet::State& aState,
-              const WorkerTable& aWorkers,
-              const std::set<WorkerLife>& aCordoned,
-              TimePoint aNow,
-              WallTime aWall)
+Planner::ComputePlan(const fleet::State& aState,
+                     const WorkerTable& aWorkers,
+                     const std::set<WorkerIncarnation>& aCordoned,
+                     TimePoint aNow,
+                     WallTime aWall)
 {
   Plan plan;
   Pools pools = FindTargets(aState, aWorkers, aCordoned, aNow);
@@ -505,8 +509,8 @@
     candidates.cbegin(), candidates.cend(), [](const Candidate& aCandidate) {
       return !aCandidate.m_isLongRunning;
     });
-  const bool isQuietPeriod = !aState.Jobs().LostWithWorkers().empty() &&
-                             aWorkers.IsCalm(aState.Jobs(), aNow);
+  const bool isQuietPeriod = !aState.Jobs().TasksWithLosses().empty() &&
+                             aWorkers.IsQuietPeriod(aState.Jobs(), aNow);
   const auto placeAll = [&](auto aFrom, auto aTo) {
     for (auto it = aFrom; it != aTo; ++it) {
       Place(*it, pools[it->m_route->m_service], plan);
--- a/src/placement/run_lookup.h
+++ b/src/placement/run_lookup.h
@@ -31,7 +31,7 @@
 /** Null if the job table has no such job or step, since reports may come from
  * programs other than this project's worker. */
 inline const jobs::StepSpec*
-FindStep(const jobs::Book& aBook, const jobs::TaskRef& aTask)
+FindStep(const jobs::JobTable& aBook, const jobs::TaskRef& aTask)
 {
   const jobs::Job* job = aBook.Find(aTask.m_job);
   const bool isKnown =
--- a/src/placement/trials.cpp
+++ b/src/placement/trials.cpp
@@ -47,21 +47,21 @@
 void
 Planner::FindIsolatedRuns(const Worker& aWorker,
                           const std::vector<jobs::TaskRef>& aPlaced,
-                          const jobs::Book& aBook,
+                          const jobs::JobTable& aBook,
                           Target& aTarget) const
 {
   for (const jobs::TaskRef& ref : aPlaced) {
     const jobs::Task& task = *aBook.FindTask(ref);
     const auto losses = aBook.LossesOf(ref);
     const bool isConfirmed =
-      Contains(aWorker.m_last.m_active, ref, task.m_lastRun);
+      Contains(aWorker.m_lastReport.m_active, ref, task.m_lastRun);
     aTarget.m_unconfirmed += isConfirmed ? 0 : 1;
-    const bool isOnTrial =
-      isConfirmed ? jobs::IsTriedThroughout(losses) : jobs::IsSuspect(losses);
+    const bool isOnTrial = isConfirmed ? jobs::IsIsolatedForWholeRun(losses)
+                                       : jobs::IsSuspect(losses);
     if (isOnTrial) {
       const jobs::Job& job = *aBook.Find(ref.m_job);
       const bool isShared =
-        jobs::MayBeTriedTogether(losses) && !StepOf(job, ref).m_gang;
+        jobs::CanBeIsolatedTogether(losses) && !StepOf(job, ref).m_gang;
       aTarget.AddIsolatedRunOf(job, isShared);
     }
   }
@@ -82,7 +82,7 @@
                               Pool& aPool) const
 {
   const auto wasLostOnInstance = [&](const Target& aTarget) {
-    return jobs::WasLostOn(aLosses, aTarget.m_worker->m_last.m_instance);
+    return jobs::HasLossOn(aLosses, aTarget.m_worker->m_lastReport.m_instance);
   };
   const auto isFragile = [](const Target& aTarget) {
     return aTarget.m_hostsLongRunning || aTarget.m_hostsGang;
@@ -126,10 +126,10 @@
                     const TasksPerWorker& aTasksPerWorker,
                     const Target& aTarget)
 {
-  const WorkerReport& report = aTarget.m_worker->m_last;
+  const WorkerReport& report = aTarget.m_worker->m_lastReport;
   return IsAllowed(
            aStep, TasksOnWorker(report.m_worker, aTasksPerWorker), aTarget) &&
-         RoomUse{}.Leaves(report.m_capacity, aStep);
+         ReservedCapacity{}.LeavesCapacityFor(report.m_capacity, aStep);
 }
 
 std::size_t
@@ -208,7 +208,7 @@
 std::vector<Planner::Candidate>
 Planner::OrderSuspects(std::vector<Candidate>::const_iterator aFrom,
                        std::vector<Candidate>::const_iterator aTo,
-                       const jobs::Book& aBook)
+                       const jobs::JobTable& aBook)
 {
   std::multimap<std::size_t, Candidate> ordered;
   for (auto it = aFrom; it != aTo; ++it) {
@@ -246,11 +246,11 @@
     const jobs::TaskRef ref{
       job.m_id, aCandidate.m_occurrence, aCandidate.m_step, index
     };
-    if (jobs::NeedsCalm(losses) && !aIsQuietPeriod) {
+    if (jobs::NeedsQuietPeriod(losses) && !aIsQuietPeriod) {
       continue;
     }
     const auto timeSinceDelay = TimeSinceRetryDelay(ref, losses, aWall);
-    const bool isShared = jobs::MayBeTriedTogether(losses) && !step.m_gang;
+    const bool isShared = jobs::CanBeIsolatedTogether(losses) && !step.m_gang;
     if (!timeSinceDelay || !MayIsolate(job, isShared, aPool)) {
       continue;
     }
@@ -263,7 +263,7 @@
     if (target == nullptr) {
       return;
     }
-    const WorkerLife& worker = target->m_worker->m_last.m_worker;
+    const WorkerIncarnation& worker = target->m_worker->m_lastReport.m_worker;
     target->Allocate(step);
     target->AddIsolatedRunOf(job, isShared);
     ++tasksPerWorker[worker];
