--- a/src/placement/worker_lives.cpp
+++ b/src/placement/worker_lives.cpp
@@ -17,49 +17,49 @@
 
 } // namespace
 
-const std::vector<WorkerLife>&
-WorkerTable::LivesOf(const InstanceId& aInstance) const
+const std::vector<WorkerIncarnation>&
+WorkerTable::IncarnationsOf(const InstanceId& aInstance) const
 {
-  static const std::vector<WorkerLife> kNone;
+  static const std::vector<WorkerIncarnation> kNone;
   const auto found = m_incarnations.find(aInstance);
   return found == m_incarnations.end() ? kNone : found->second;
 }
 
 bool
-WorkerTable::IsContested(const InstanceId& aInstance) const
+WorkerTable::IsAmbiguous(const InstanceId& aInstance) const
 {
-  const auto& incarnations = LivesOf(aInstance);
-  const auto isNotLost = [&](const WorkerLife& aIncarnation) {
-    return !Find(aIncarnation)->m_silent;
+  const auto& incarnations = IncarnationsOf(aInstance);
+  const auto isNotLost = [&](const WorkerIncarnation& aIncarnation) {
+    return !Find(aIncarnation)->m_isLost;
   };
   return m_candidates.contains(aInstance) ||
          std::count_if(incarnations.begin(), incarnations.end(), isNotLost) > 1;
 }
 
 bool
-WorkerTable::HasLaterLife(const Worker& aWorker) const
+WorkerTable::HasLaterIncarnation(const Worker& aWorker) const
 {
-  if (m_candidates.contains(HostOf(aWorker.m_last))) {
+  if (m_candidates.contains(HostOf(aWorker.m_lastReport))) {
     return true;
   }
-  const auto& incarnations = LivesOf(aWorker.m_last.m_instance);
+  const auto& incarnations = IncarnationsOf(aWorker.m_lastReport.m_instance);
   return std::any_of(incarnations.begin(),
                      incarnations.end(),
-                     [&](const WorkerLife& aIncarnation) {
-                       return Find(aIncarnation)->m_firstHeardAt >
-                              aWorker.m_heardAt;
+                     [&](const WorkerIncarnation& aIncarnation) {
+                       return Find(aIncarnation)->m_firstReportAt >
+                              aWorker.m_lastReportAt;
                      });
 }
 
-std::optional<WorkerLife>
-WorkerTable::FindOnlyLife(const WorkerId& aWorker) const
+std::optional<WorkerIncarnation>
+WorkerTable::FindOnlyIncarnation(const WorkerId& aWorker) const
 {
-  std::optional<WorkerLife> only;
+  std::optional<WorkerIncarnation> only;
   std::size_t count = 0;
   const auto add = [&](const auto& aIncarnations, const auto& aGetIncarnation) {
-    const auto first = aIncarnations.lower_bound(WorkerLife{ aWorker });
+    const auto first = aIncarnations.lower_bound(WorkerIncarnation{ aWorker });
     for (auto it = first; it != aIncarnations.end(); ++it) {
-      const WorkerLife& incarnation = aGetIncarnation(*it);
+      const WorkerIncarnation& incarnation = aGetIncarnation(*it);
       if (incarnation.m_id != aWorker) {
         break;
       }
@@ -67,11 +67,11 @@
       ++count;
     }
   };
-  const auto fromEntry = [](const auto& aEntry) -> const WorkerLife& {
+  const auto fromEntry = [](const auto& aEntry) -> const WorkerIncarnation& {
     return aEntry.first;
   };
   const auto identity =
-    [](const WorkerLife& aIncarnation) -> const WorkerLife& {
+    [](const WorkerIncarnation& aIncarnation) -> const WorkerIncarnation& {
     return aIncarnation;
   };
   add(m_workers, fromEntry);
@@ -86,26 +86,26 @@
 // therefore has to prove that it follows the current one.
 WorkerTable::Admission
 WorkerTable::Admit(const WorkerReport& aReport,
-                   const jobs::Book& aBook,
+                   const jobs::JobTable& aBook,
                    TimePoint aNow,
                    WallTime aWall,
-                   Heard& aResult)
+                   ReportResult& aResult)
 {
-  const WorkerLife& incarnation = aReport.m_worker;
+  const WorkerIncarnation& incarnation = aReport.m_worker;
   Admission admission;
-  if (!incarnation.SaysStart()) {
+  if (!incarnation.HasStartTime()) {
     const auto next = m_workers.upper_bound(incarnation);
     const bool isStartKnown =
       next != m_workers.end() && next->first.m_id == incarnation.m_id;
     if (isStartKnown) {
-      admission.m_ignored = Ignored::kUnproven;
+      admission.m_ignored = IgnoreReason::kUnconfirmed;
     }
     return admission;
   }
   CurrentIncarnation& current = FindCurrent(aReport, aBook, aNow);
   if (current.m_incarnation != incarnation) {
     if (!IsSuccessor(aReport, current, aNow)) {
-      admission.m_ignored = Ignored::kUnproven;
+      admission.m_ignored = IgnoreReason::kUnconfirmed;
       return admission;
     }
     const TimePoint trackedSince = current.m_trackedSince;
@@ -122,12 +122,12 @@
 // runs in the state.
 WorkerTable::CurrentIncarnation&
 WorkerTable::FindCurrent(const WorkerReport& aReport,
-                         const jobs::Book& aBook,
+                         const jobs::JobTable& aBook,
                          TimePoint aNow)
 {
   if (!m_recordedIncarnations) {
     m_recordedIncarnations.emplace();
-    for (const auto& [incarnation, tasks] : aBook.Placed()) {
+    for (const auto& [incarnation, tasks] : aBook.TasksByWorker()) {
       m_recordedIncarnations->emplace(incarnation.m_id, incarnation);
     }
   }
@@ -135,7 +135,7 @@
     HostOf(aReport), CurrentIncarnation{ aReport.m_worker, aNow });
   const auto recorded = m_recordedIncarnations->find(aReport.m_worker.m_id);
   if (recorded != m_recordedIncarnations->end()) {
-    if (isNew && recorded->second.SaysStart()) {
+    if (isNew && recorded->second.HasStartTime()) {
       found->second = { recorded->second, m_leaderSince };
     }
     m_recordedIncarnations->erase(recorded);
@@ -154,7 +154,7 @@
                          const CurrentIncarnation& aCurrent,
                          TimePoint aNow)
 {
-  const WorkerLife& incarnation = aReport.m_worker;
+  const WorkerIncarnation& incarnation = aReport.m_worker;
   const auto [found, isNew] = m_candidates[HostOf(aReport)].try_emplace(
     incarnation, Candidate{ aNow, aNow, aReport.m_sequence });
   Candidate& candidate = found->second;
@@ -167,36 +167,36 @@
     aNow >= candidate.m_since + m_options.m_confirmIncarnationAfter;
   const Worker* worker = Find(aCurrent.m_incarnation);
   if (m_superseded.Contains(incarnation)) {
-    return hasKeptReporting && (worker == nullptr || worker->m_silent);
+    return hasKeptReporting && (worker == nullptr || worker->m_isLost);
   }
   const bool isTrackedLongEnough =
-    aNow >= aCurrent.m_trackedSince + m_options.m_lateReports;
+    aNow >= aCurrent.m_trackedSince + m_options.m_maxReportDelay;
   return hasKeptReporting ||
          (isTrackedLongEnough &&
           incarnation.m_startedAt > aCurrent.m_incarnation.m_startedAt);
 }
 
 HealthRecord
-WorkerTable::Supersede(WorkerLife aPrevious,
+WorkerTable::Supersede(WorkerIncarnation aPrevious,
                        const WorkerReport& aReport,
-                       const jobs::Book& aBook,
+                       const jobs::JobTable& aBook,
                        TimePoint aNow,
                        WallTime aWall,
-                       Heard& aResult)
+                       ReportResult& aResult)
 {
   HealthRecord health;
   const auto lost = m_workers.find(aPrevious);
   if (lost != m_workers.end()) {
     Worker& worker = lost->second;
-    if (!worker.m_silent) {
+    if (!worker.m_isLost) {
       RecordLoss(worker, LossCause::kLaterIncarnation, aBook, aNow);
     }
     if (!worker.m_lostInIsolatedRun) {
-      m_recentLosses.Add(worker.m_heardAt);
+      m_recentLosses.Add(worker.m_lastReportAt);
     }
     health = worker.m_health;
-  } else if (const auto placed = aBook.Placed().find(aPrevious);
-             placed != aBook.Placed().end()) {
+  } else if (const auto placed = aBook.TasksByWorker().find(aPrevious);
+             placed != aBook.TasksByWorker().end()) {
     m_lost.push_back({ aPrevious,
                        aReport.m_instance,
                        LossCause::kLaterIncarnation,
@@ -206,7 +206,7 @@
   aResult.m_ends = EndAllRuns(aPrevious, aReport.m_instance, aBook, aWall);
   aResult.m_changed = true;
   Forget(aPrevious);
-  (aPrevious.SaysStart() ? m_superseded : m_retired).Add(aPrevious);
+  (aPrevious.HasStartTime() ? m_superseded : m_retired).Add(aPrevious);
   aResult.m_superseded = std::move(aPrevious);
   return health;
 }
@@ -226,7 +226,7 @@
 // A damaged report may have named another instance since the first one, so all
 // instances are searched.
 void
-WorkerTable::Forget(const WorkerLife& aWorker)
+WorkerTable::Forget(const WorkerIncarnation& aWorker)
 {
   m_workers.erase(aWorker);
   for (auto& [instance, incarnations] : m_incarnations) {
@@ -240,14 +240,14 @@
 }
 
 std::vector<jobs::EndRun>
-WorkerTable::Retire(const WorkerLife& aWorker,
-                    const jobs::Book& aBook,
+WorkerTable::Retire(const WorkerIncarnation& aWorker,
+                    const jobs::JobTable& aBook,
                     WallTime aWall)
 {
   m_retired.Add(aWorker);
   const Worker* worker = Find(aWorker);
   const InstanceId instance =
-    worker == nullptr ? InstanceId{} : worker->m_last.m_instance;
+    worker == nullptr ? InstanceId{} : worker->m_lastReport.m_instance;
   auto ends = EndAllRuns(aWorker, instance, aBook, aWall);
   Forget(aWorker);
   return ends;
@@ -257,22 +257,23 @@
 // the next one may have reported while the order was under way. That one has
 // ended too, and its pending starts will never run.
 std::vector<jobs::EndRun>
-WorkerTable::RetireInstance(const WorkerLife& aWorker,
+WorkerTable::RetireInstance(const WorkerIncarnation& aWorker,
                             TimePoint aFirstReportBefore,
-                            const jobs::Book& aBook,
+                            const jobs::JobTable& aBook,
                             WallTime aWall)
 {
-  std::vector<WorkerLife> ended;
+  std::vector<WorkerIncarnation> ended;
   if (const Worker* worker = Find(aWorker)) {
-    for (const WorkerLife& incarnation : LivesOf(worker->m_last.m_instance)) {
+    for (const WorkerIncarnation& incarnation :
+         IncarnationsOf(worker->m_lastReport.m_instance)) {
       if (incarnation != aWorker &&
-          Find(incarnation)->m_firstHeardAt < aFirstReportBefore) {
+          Find(incarnation)->m_firstReportAt < aFirstReportBefore) {
         ended.push_back(incarnation);
       }
     }
   }
   auto ends = Retire(aWorker, aBook, aWall);
-  for (const WorkerLife& incarnation : ended) {
+  for (const WorkerIncarnation& incarnation : ended) {
     const auto more = Retire(incarnation, aBook, aWall);
     ends.insert(ends.end(), more.begin(), more.end());
   }
--- a/src/placement/worker_losses.cpp
+++ b/src/placement/worker_losses.cpp
@@ -15,7 +15,7 @@
 
 std::vector<jobs::TaskRef>
 WorkerTable::FindUnconfirmed(const Worker& aWorker,
-                             const jobs::Book& aBook) const
+                             const jobs::JobTable& aBook) const
 {
   std::vector<jobs::TaskRef> unconfirmed;
   for (const PendingStart& start : FindPending(aWorker, aBook)) {
@@ -28,15 +28,15 @@
 
 std::size_t
 WorkerTable::CountConcurrentLosses(const Worker& aWorker,
-                                   const jobs::Book& aBook,
+                                   const jobs::JobTable& aBook,
                                    TimePoint aNow) const
 {
-  std::size_t count = m_recentLosses.CountAround(aWorker.m_heardAt);
+  std::size_t count = m_recentLosses.CountAround(aWorker.m_lastReportAt);
   for (const auto& [id, other] : m_workers) {
-    const bool isUnresponsive = IsInDoubt(other, aNow);
+    const bool isUnresponsive = IsUnresponsive(other, aNow);
     const bool isConcurrent =
-      other.m_heardAt <= aWorker.m_heardAt + kConcurrentLossWindow &&
-      aWorker.m_heardAt <= other.m_heardAt + kConcurrentLossWindow;
+      other.m_lastReportAt <= aWorker.m_lastReportAt + kConcurrentLossWindow &&
+      aWorker.m_lastReportAt <= other.m_lastReportAt + kConcurrentLossWindow;
     if (&other != &aWorker && isUnresponsive && isConcurrent &&
         !other.m_lostInIsolatedRun && !HasIsolatedRun(other, aBook)) {
       ++count;
@@ -46,12 +46,12 @@
 }
 
 bool
-WorkerTable::IsCalm(const jobs::Book& aBook, TimePoint aNow) const
+WorkerTable::IsQuietPeriod(const jobs::JobTable& aBook, TimePoint aNow) const
 {
   const TimePoint since = std::max(m_lastLossAt, m_leaderSince);
   const auto isUnresponsive = [&](const auto& aEntry) {
     const Worker& worker = aEntry.second;
-    return !worker.m_silent && IsInDoubt(worker, aNow) &&
+    return !worker.m_isLost && IsUnresponsive(worker, aNow) &&
            !HasIsolatedRun(worker, aBook);
   };
   return aNow >= since + m_options.m_quietPeriod &&
@@ -61,22 +61,23 @@
 bool
 WorkerTable::IsIsolatedRun(const jobs::TaskRef& aTask,
                            const std::vector<jobs::TaskRef>& aUnconfirmed,
-                           const jobs::Book& aBook)
+                           const jobs::JobTable& aBook)
 {
   const auto losses = aBook.LossesOf(aTask);
   const bool isUnconfirmed =
     std::find(aUnconfirmed.begin(), aUnconfirmed.end(), aTask) !=
     aUnconfirmed.end();
   return isUnconfirmed ? jobs::IsSuspect(losses)
-                       : jobs::IsTriedThroughout(losses);
+                       : jobs::IsIsolatedForWholeRun(losses);
 }
 
 bool
 WorkerTable::HasIsolatedRun(const Worker& aWorker,
-                            const jobs::Book& aBook) const
+                            const jobs::JobTable& aBook) const
 {
-  const auto placed = aBook.Placed().find(aWorker.m_last.m_worker);
-  if (placed == aBook.Placed().end() || aBook.LostWithWorkers().empty()) {
+  const auto placed = aBook.TasksByWorker().find(aWorker.m_lastReport.m_worker);
+  if (placed == aBook.TasksByWorker().end() ||
+      aBook.TasksWithLosses().empty()) {
     return false;
   }
   const auto unconfirmed = FindUnconfirmed(aWorker, aBook);
@@ -98,81 +99,82 @@
                             const Worker& aWorker,
                             const LostWorker& aLost,
                             const std::vector<jobs::TaskRef>& aUnconfirmed,
-                            const jobs::Book& aBook) const
+                            const jobs::JobTable& aBook) const
 {
   using jobs::CrashEvidence;
   const jobs::Task& task = *aBook.FindTask(aTask);
   const auto losses = aBook.LossesOf(aTask);
   const bool isProofOfCrash =
     aLost.m_cause == LossCause::kLaterIncarnation &&
-    aLost.m_silentFor >= m_options.m_unresponsiveAfter &&
-    (!jobs::WasLostOn(losses, aWorker.m_last.m_instance) ||
+    aLost.m_unresponsiveFor >= m_options.m_unresponsiveAfter &&
+    (!jobs::HasLossOn(losses, aWorker.m_lastReport.m_instance) ||
      jobs::CountInstances(losses) >= kMinInstancesForProof);
-  const bool isShared = aLost.m_lostBeside > 0;
-  const auto& placed = aBook.Placed().at(aWorker.m_last.m_worker);
+  const bool isShared = aLost.m_concurrentLosses > 0;
+  const auto& placed = aBook.TasksByWorker().at(aWorker.m_lastReport.m_worker);
   const bool hasOtherIsolatedRun =
     std::any_of(placed.begin(), placed.end(), [&](const auto& aOther) {
-      return aOther != aTask && !aBook.AreOneGang(aOther, aTask) &&
+      return aOther != aTask && !aBook.AreInSameGang(aOther, aTask) &&
              IsIsolatedRun(aOther, aUnconfirmed, aBook);
     });
-  if (task.m_settled) {
+  if (task.m_isStable) {
     return CrashEvidence::kNone;
   }
   if (std::find(aUnconfirmed.begin(), aUnconfirmed.end(), aTask) !=
       aUnconfirmed.end()) {
     const bool isAlone = std::all_of(
       aUnconfirmed.begin(), aUnconfirmed.end(), [&](const auto& aOther) {
-        return aOther == aTask || aBook.AreOneGang(aOther, aTask);
+        return aOther == aTask || aBook.AreInSameGang(aOther, aTask);
       });
     return jobs::IsSuspect(losses) && isProofOfCrash && isAlone && !isShared &&
                !hasOtherIsolatedRun
-             ? CrashEvidence::kAlone
+             ? CrashEvidence::kIsolated
              : CrashEvidence::kStarting;
   }
-  if (!Contains(aWorker.m_last.m_active, aTask, task.m_lastRun)) {
+  if (!Contains(aWorker.m_lastReport.m_active, aTask, task.m_lastRun)) {
     return CrashEvidence::kNone;
   }
   if (isShared) {
-    return CrashEvidence::kShared;
+    return CrashEvidence::kConcurrent;
   }
-  const bool isIsolated = jobs::IsTriedThroughout(losses);
+  const bool isIsolated = jobs::IsIsolatedForWholeRun(losses);
   if (isIsolated && isProofOfCrash && aUnconfirmed.empty() &&
       !hasOtherIsolatedRun) {
-    return CrashEvidence::kAlone;
+    return CrashEvidence::kIsolated;
   }
   if (isIsolated) {
     return hasOtherIsolatedRun ? CrashEvidence::kRunning : CrashEvidence::kNone;
   }
-  return aWorker.m_lostInIsolatedRun ? CrashEvidence::kShared
+  return aWorker.m_lostInIsolatedRun ? CrashEvidence::kConcurrent
                                      : CrashEvidence::kRunning;
 }
 
 void
 WorkerTable::RecordLoss(Worker& aWorker,
                         LossCause aCause,
-                        const jobs::Book& aBook,
+                        const jobs::JobTable& aBook,
                         TimePoint aNow)
 {
-  const WorkerLife& id = aWorker.m_last.m_worker;
-  const auto placed = aBook.Placed().find(id);
+  const WorkerIncarnation& id = aWorker.m_lastReport.m_worker;
+  const auto placed = aBook.TasksByWorker().find(id);
   const auto unconfirmed = FindUnconfirmed(aWorker, aBook);
   aWorker.m_lostInIsolatedRun = HasIsolatedRun(aWorker, aBook);
   if (!aWorker.m_lostInIsolatedRun) {
     m_lastLossAt = aNow;
   }
-  if (placed == aBook.Placed().end()) {
+  if (placed == aBook.TasksByWorker().end()) {
     return;
   }
   const LostWorker lost{ id,
-                         aWorker.m_last.m_instance,
-                         HasLaterLife(aWorker) ? LossCause::kLaterIncarnation
-                                               : aCause,
-                         aNow - aWorker.m_heardAt,
+                         aWorker.m_lastReport.m_instance,
+                         HasLaterIncarnation(aWorker)
+                           ? LossCause::kLaterIncarnation
+                           : aCause,
+                         aNow - aWorker.m_lastReportAt,
                          placed->second.size(),
                          unconfirmed.size(),
                          CountConcurrentLosses(aWorker, aBook, aNow) };
   m_lost.push_back(lost);
-  if (aWorker.m_last.m_draining || m_cordoned.contains(id)) {
+  if (aWorker.m_lastReport.m_draining || m_cordoned.contains(id)) {
     return;
   }
   for (const jobs::TaskRef& ref : placed->second) {
@@ -184,19 +186,19 @@
   }
 }
 
-std::vector<jobs::SettleRun>
-WorkerTable::FindSettled(const jobs::Book& aBook, TimePoint aNow) const
+std::vector<jobs::MarkRunStable>
+WorkerTable::FindStableRuns(const jobs::JobTable& aBook, TimePoint aNow) const
 {
-  std::vector<jobs::SettleRun> stable;
+  std::vector<jobs::MarkRunStable> stable;
   for (const auto& [id, worker] : m_workers) {
     for (const auto& [ref, progress] : worker.m_progress) {
       const bool isReady =
         progress.m_percent >= kReadyPercent &&
-        worker.m_heardAt >= progress.m_since + m_options.m_stableAfter &&
-        !IsInDoubt(worker, aNow);
+        worker.m_lastReportAt >= progress.m_since + m_options.m_stableAfter &&
+        !IsUnresponsive(worker, aNow);
       if (isReady && IsExpected(aBook, id, ref, progress.m_run) &&
           StepOf(*aBook.Find(ref.m_job), ref).m_longRunning &&
-          !aBook.FindTask(ref)->m_settled) {
+          !aBook.FindTask(ref)->m_isStable) {
         stable.push_back({ ref, progress.m_run });
       }
     }
@@ -208,8 +210,8 @@
 // an isolated run there; for any other task, one such loss is weak evidence.
 jobs::CrashEvidence
 WorkerTable::EvidenceOf(const jobs::TaskRef& aTask,
-                        const WorkerLife& aWorker,
-                        const jobs::Book& aBook) const
+                        const WorkerIncarnation& aWorker,
+                        const jobs::JobTable& aBook) const
 {
   if (const Worker* worker = Find(aWorker)) {
     const auto found = worker->m_evidence.find(aTask);
@@ -217,7 +219,7 @@
                                              : found->second;
   }
   const jobs::Task& task = *aBook.FindTask(aTask);
-  if (task.m_settled || HasEnded(aWorker)) {
+  if (task.m_isStable || HasEnded(aWorker)) {
     return jobs::CrashEvidence::kNone;
   }
   return jobs::IsSuspect(task.m_losses) ? jobs::CrashEvidence::kStarting
@@ -225,14 +227,14 @@
 }
 
 std::vector<jobs::EndRun>
-WorkerTable::EndAllRuns(const WorkerLife& aWorker,
+WorkerTable::EndAllRuns(const WorkerIncarnation& aWorker,
                         const InstanceId& aInstance,
-                        const jobs::Book& aBook,
+                        const jobs::JobTable& aBook,
                         WallTime aWall)
 {
   std::vector<jobs::EndRun> ends;
-  const auto placed = aBook.Placed().find(aWorker);
-  if (placed == aBook.Placed().end()) {
+  const auto placed = aBook.TasksByWorker().find(aWorker);
+  if (placed == aBook.TasksByWorker().end()) {
     return ends;
   }
   for (const jobs::TaskRef& ref : placed->second) {
@@ -249,27 +251,30 @@
 }
 
 std::vector<jobs::EndRun>
-WorkerTable::FindLost(const jobs::Book& aBook, TimePoint aNow, WallTime aWall)
+WorkerTable::CollectLostRuns(const jobs::JobTable& aBook,
+                             TimePoint aNow,
+                             WallTime aWall)
 {
   std::vector<jobs::EndRun> ends;
-  const auto add = [&](const WorkerLife& aWorker, const InstanceId& aInstance) {
+  const auto add = [&](const WorkerIncarnation& aWorker,
+                       const InstanceId& aInstance) {
     auto lost = EndAllRuns(aWorker, aInstance, aBook, aWall);
     std::move(lost.begin(), lost.end(), std::back_inserter(ends));
   };
   for (auto& [id, worker] : m_workers) {
-    if (!worker.m_silent && aNow > worker.m_leaseEnd) {
+    if (!worker.m_isLost && aNow > worker.m_leaseEnd) {
       RecordLoss(worker, LossCause::kLeaseEnded, aBook, aNow);
-      worker.m_silent = true;
+      worker.m_isLost = true;
       worker.m_sentAt.clear();
       worker.m_toStop.clear();
     }
-    if (worker.m_silent) {
-      add(id, worker.m_last.m_instance);
+    if (worker.m_isLost) {
+      add(id, worker.m_lastReport.m_instance);
     }
   }
   ForgetCandidates(aNow);
   const bool knowsAllLeases = KnowsAllLeases(aNow);
-  for (const auto& [id, tasks] : aBook.Placed()) {
+  for (const auto& [id, tasks] : aBook.TasksByWorker()) {
     if (m_workers.contains(id)) {
       continue;
     }
--- a/src/placement/worker_orders.cpp
+++ b/src/placement/worker_orders.cpp
@@ -27,8 +27,8 @@
  * tasks are excluded because reports control their rate, and tasks that are
  * warming up because others wait for them. */
 bool
-IsSteadyRun(const jobs::Book& aBook,
-            const WorkerLife& aWorker,
+IsSteadyRun(const jobs::JobTable& aBook,
+            const WorkerIncarnation& aWorker,
             const RunReport& aRun)
 {
   const jobs::Job* job = aBook.Find(aRun.m_task.m_job);
@@ -37,23 +37,25 @@
     return false;
   }
   const jobs::StepSpec& step = StepOf(*job, aRun.m_task);
-  return step.m_longRunning && !step.m_fills && aRun.m_percent >= kReadyPercent;
+  return step.m_longRunning && !step.m_bestEffort &&
+         aRun.m_percent >= kReadyPercent;
 }
 
 } // namespace
 
 bool
-WorkerTable::IsQuiet(const WorkerLife& aWorker, const jobs::Book& aBook) const
+WorkerTable::IsSteady(const WorkerIncarnation& aWorker,
+                      const jobs::JobTable& aBook) const
 {
   const Worker* worker = Find(aWorker);
-  if (worker == nullptr || worker->m_last.m_draining ||
-      !worker->m_last.m_ended.empty() || !worker->m_toStop.empty()) {
+  if (worker == nullptr || worker->m_lastReport.m_draining ||
+      !worker->m_lastReport.m_ended.empty() || !worker->m_toStop.empty()) {
     return false;
   }
-  const auto& active = worker->m_last.m_active;
-  const auto placed = aBook.Placed().find(aWorker);
+  const auto& active = worker->m_lastReport.m_active;
+  const auto placed = aBook.TasksByWorker().find(aWorker);
   const std::size_t expected =
-    placed == aBook.Placed().end() ? 0 : placed->second.size();
+    placed == aBook.TasksByWorker().end() ? 0 : placed->second.size();
   return active.size() == expected &&
          std::all_of(active.begin(), active.end(), [&](const auto& aRun) {
            return IsSteadyRun(aBook, aWorker, aRun);
@@ -64,31 +66,31 @@
 // send most of them.
 Duration
 WorkerTable::BaseReportInterval(const Worker& aWorker,
-                                const jobs::Book& aBook) const
+                                const jobs::JobTable& aBook) const
 {
-  const WorkerLife& id = aWorker.m_last.m_worker;
+  const WorkerIncarnation& id = aWorker.m_lastReport.m_worker;
   // An isolated run blocks the worker for all other tasks until a report shows
   // its outcome.
-  if (IsQuiet(id, aBook) || HasIsolatedRun(aWorker, aBook)) {
+  if (IsSteady(id, aBook) || HasIsolatedRun(aWorker, aBook)) {
     return m_options.m_steadyReportDelay;
   }
-  const auto placed = aBook.Placed().find(id);
-  if (placed == aBook.Placed().end() || !aWorker.m_rates.empty()) {
+  const auto placed = aBook.TasksByWorker().find(id);
+  if (placed == aBook.TasksByWorker().end() || !aWorker.m_rates.empty()) {
     return m_options.m_reportInterval;
   }
   std::int64_t usedCpu = 0;
   for (const jobs::TaskRef& ref : placed->second) {
     const jobs::StepSpec& step = StepOf(*aBook.Find(ref.m_job), ref);
-    usedCpu += step.CountedCpu();
+    usedCpu += step.ReservedCpu();
   }
-  const std::int64_t totalCpu = aWorker.m_last.m_capacity.m_cpuMillis;
+  const std::int64_t totalCpu = aWorker.m_lastReport.m_capacity.m_cpuMillis;
   const bool isFull = usedCpu * 100 >= totalCpu * kFullCpuPercent;
   return isFull ? m_options.m_fullReportInterval : m_options.m_reportInterval;
 }
 
 Duration
 WorkerTable::ReportInterval(const Worker& aWorker,
-                            const jobs::Book& aBook) const
+                            const jobs::JobTable& aBook) const
 {
   return std::min<Duration>(BaseReportInterval(aWorker, aBook) *
                               m_reportIntervalFactor,
@@ -96,7 +98,7 @@
 }
 
 Orders
-WorkerTable::AnswerUnproven() const
+WorkerTable::AnswerUnconfirmed() const
 {
   Orders orders;
   orders.m_nextReport = m_options.m_reportInterval;
@@ -104,13 +106,13 @@
 }
 
 Orders
-WorkerTable::Answer(const WorkerLife& aWorker,
-                    const jobs::Book& aBook,
+WorkerTable::Answer(const WorkerIncarnation& aWorker,
+                    const jobs::JobTable& aBook,
                     TimePoint aNow)
 {
   Orders orders;
   Worker& worker = m_workers.at(aWorker);
-  const WorkerReport& report = worker.m_last;
+  const WorkerReport& report = worker.m_lastReport;
   orders.m_ackedUpTo = worker.m_ackedUpTo;
   orders.m_lease = m_options.m_lease;
   orders.m_nextReport = ReportInterval(worker, aBook);
@@ -154,11 +156,13 @@
 // steps afterwards. Slowing down faster than speeding up keeps a target from
 // being exceeded for more than a second.
 void
-WorkerTable::AddRates(Worker& aWorker, const jobs::Book& aBook, Orders& aOrders)
+WorkerTable::AddRates(Worker& aWorker,
+                      const jobs::JobTable& aBook,
+                      Orders& aOrders)
 {
   bool isNearTarget = false;
   bool isFarFromTarget = true;
-  for (const RunReport& run : aWorker.m_last.m_active) {
+  for (const RunReport& run : aWorker.m_lastReport.m_active) {
     const jobs::StepSpec* step = FindStep(aBook, run.m_task);
     if (step == nullptr) {
       continue;
@@ -172,9 +176,9 @@
     isFarFromTarget =
       isFarFromTarget && run.m_load * 100 < target * kSpeedUpAtPercent;
   }
-  for (const RunReport& run : aWorker.m_last.m_active) {
+  for (const RunReport& run : aWorker.m_lastReport.m_active) {
     const jobs::StepSpec* step = FindStep(aBook, run.m_task);
-    if (step == nullptr || !step->m_fills) {
+    if (step == nullptr || !step->m_bestEffort) {
       continue;
     }
     const auto known = aWorker.m_rates.find(run.m_task);
--- a/src/placement/workers.cpp
+++ b/src/placement/workers.cpp
@@ -32,17 +32,17 @@
 // withdrawn. An acknowledged end has to count, or its task would be done
 // again.
 bool
-IsDoneLate(const jobs::Book& aBook, const EndReport& aEnd)
+IsDoneLate(const jobs::JobTable& aBook, const EndReport& aEnd)
 {
-  return aEnd.m_how == jobs::RunEnd::kDone &&
-         aBook.CountsLate(aEnd.m_task, aEnd.m_run);
+  return aEnd.m_endReason == jobs::RunEnd::kDone &&
+         aBook.AcceptsLateEnd(aEnd.m_task, aEnd.m_run);
 }
 
 } // namespace
 
 bool
-IsPlaced(const jobs::Book& aBook,
-         const WorkerLife& aWorker,
+IsPlaced(const jobs::JobTable& aBook,
+         const WorkerIncarnation& aWorker,
          const jobs::TaskRef& aTask,
          RunNumber aRun)
 {
@@ -52,43 +52,43 @@
 }
 
 bool
-IsExpected(const jobs::Book& aBook,
-           const WorkerLife& aWorker,
+IsExpected(const jobs::JobTable& aBook,
+           const WorkerIncarnation& aWorker,
            const jobs::TaskRef& aTask,
            RunNumber aRun)
 {
   return IsPlaced(aBook, aWorker, aTask, aRun) ||
-         IsPlaced(aBook, WorkerLife{ aWorker.m_id }, aTask, aRun);
+         IsPlaced(aBook, WorkerIncarnation{ aWorker.m_id }, aTask, aRun);
 }
 
 void
-RoomUse::Add(const jobs::StepSpec& aStep)
+ReservedCapacity::Add(const jobs::StepSpec& aStep)
 {
-  m_cpuMillis += aStep.CountedCpu();
-  m_memoryMb += aStep.m_needs.m_memoryMb;
-  m_accelerators += aStep.m_needs.m_accelerators;
+  m_cpuMillis += aStep.ReservedCpu();
+  m_memoryMb += aStep.m_resources.m_memoryMb;
+  m_accelerators += aStep.m_resources.m_accelerators;
 }
 
 bool
-RoomUse::Leaves(const jobs::Resources& aCapacity,
-                const jobs::StepSpec& aStep) const
+ReservedCapacity::LeavesCapacityFor(const jobs::Resources& aCapacity,
+                                    const jobs::StepSpec& aStep) const
 {
   return !m_isUnknown &&
-         m_cpuMillis + aStep.CountedCpu() <= aCapacity.m_cpuMillis &&
-         m_memoryMb + aStep.m_needs.m_memoryMb <= aCapacity.m_memoryMb &&
-         m_accelerators + aStep.m_needs.m_accelerators <=
+         m_cpuMillis + aStep.ReservedCpu() <= aCapacity.m_cpuMillis &&
+         m_memoryMb + aStep.m_resources.m_memoryMb <= aCapacity.m_memoryMb &&
+         m_accelerators + aStep.m_resources.m_accelerators <=
            aCapacity.m_accelerators;
 }
 
 const char*
-Describe(Ignored aReason) noexcept
+Describe(IgnoreReason aReason) noexcept
 {
   switch (aReason) {
-    case Ignored::kOvertaken:
+    case IgnoreReason::kStale:
       return "overtaken by a later report";
-    case Ignored::kWorkerEnded:
+    case IgnoreReason::kWorkerEnded:
       return "its worker has ended";
-    case Ignored::kUnproven:
+    case IgnoreReason::kUnconfirmed:
       return "it may be of an earlier life";
   }
   return "unknown";
@@ -114,7 +114,7 @@
 }
 
 const Worker*
-WorkerTable::Find(const WorkerLife& aWorker) const
+WorkerTable::Find(const WorkerIncarnation& aWorker) const
 {
   const auto found = m_workers.find(aWorker);
   return found == m_workers.end() ? nullptr : &found->second;
@@ -136,7 +136,7 @@
   if (worker == nullptr) {
     return nullptr;
   }
-  for (const RunReport& run : worker->m_last.m_active) {
+  for (const RunReport& run : worker->m_lastReport.m_active) {
     if (run.m_task == aTask && run.m_run == aState.m_lastRun) {
       return &run;
     }
@@ -144,22 +144,23 @@
   return nullptr;
 }
 
-Heard
+ReportResult
 WorkerTable::OnReport(const WorkerReport& aReport,
-                      const jobs::Book& aBook,
+                      const jobs::JobTable& aBook,
                       TimePoint aNow,
                       WallTime aWall)
 {
-  Heard result;
+  ReportResult result;
   if (m_retired.Contains(aReport.m_worker)) {
-    result.m_ignored = Ignored::kWorkerEnded;
+    result.m_ignored = IgnoreReason::kWorkerEnded;
     return result;
   }
   // A stale report shows an outdated state. Its worker has dropped the
   // connection and will not read the answer.
   const Worker* known = Find(aReport.m_worker);
-  if (known != nullptr && aReport.m_sequence <= known->m_last.m_sequence) {
-    result.m_ignored = Ignored::kOvertaken;
+  if (known != nullptr &&
+      aReport.m_sequence <= known->m_lastReport.m_sequence) {
+    result.m_ignored = IgnoreReason::kStale;
     return result;
   }
   const Admission admission = Admit(aReport, aBook, aNow, aWall, result);
@@ -170,7 +171,7 @@
   const auto [found, isNew] = m_workers.try_emplace(aReport.m_worker);
   Worker& worker = found->second;
   if (isNew) {
-    worker.m_firstHeardAt = aNow;
+    worker.m_firstReportAt = aNow;
     worker.m_health = admission.m_health;
     if (!aReport.m_instance.Get().empty()) {
       m_incarnations[aReport.m_instance].push_back(aReport.m_worker);
@@ -182,13 +183,13 @@
   // is sent, and its new runs would be placed again elsewhere.
   worker.m_leaseEnd = std::max(worker.m_leaseEnd, aNow + MaxLeaseDuration());
   TrackInstance(worker, aReport, aBook, aNow, aWall, result);
-  result.m_changed = result.m_changed || worker.m_silent ||
-                     worker.m_last.m_draining != aReport.m_draining ||
-                     worker.m_last.m_capacity != aReport.m_capacity;
+  result.m_changed = result.m_changed || worker.m_isLost ||
+                     worker.m_lastReport.m_draining != aReport.m_draining ||
+                     worker.m_lastReport.m_capacity != aReport.m_capacity;
   const bool hadIsolatedRun = HasIsolatedRun(worker, aBook);
-  worker.m_last = aReport;
-  worker.m_heardAt = aNow;
-  worker.m_silent = false;
+  worker.m_lastReport = aReport;
+  worker.m_lastReportAt = aNow;
+  worker.m_isLost = false;
   worker.m_lostInIsolatedRun = false;
   worker.m_evidence.clear();
   for (const RunReport& run : aReport.m_active) {
@@ -215,7 +216,7 @@
 WorkerTable::TrackProgress(Worker& aWorker, TimePoint aNow)
 {
   std::map<jobs::TaskRef, RunProgress> progress;
-  for (const RunReport& run : aWorker.m_last.m_active) {
+  for (const RunReport& run : aWorker.m_lastReport.m_active) {
     const auto previous = aWorker.m_progress.find(run.m_task);
     const bool isUnchanged = previous != aWorker.m_progress.end() &&
                              previous->second.m_run == run.m_run &&
@@ -232,7 +233,7 @@
 // fails. Long-running tasks stay at 100, best-effort tasks may be slowed to
 // zero, and members of a gang wait for each other, so none of these is checked.
 std::vector<StopOrder>
-WorkerTable::FindStuck(const jobs::Book& aBook, TimePoint aNow)
+WorkerTable::FindStuckRuns(const jobs::JobTable& aBook, TimePoint aNow)
 {
   constexpr int kPercent = 100;
   std::vector<StopOrder> stuck;
@@ -242,7 +243,7 @@
   for (auto& [id, worker] : m_workers) {
     for (const auto& [task, progress] : worker.m_progress) {
       const jobs::Job* job = aBook.Find(task.m_job);
-      if (worker.m_silent || job == nullptr ||
+      if (worker.m_isLost || job == nullptr ||
           !IsExpected(aBook, id, task, progress.m_run) ||
           worker.m_toStop.contains({ task, progress.m_run })) {
         continue;
@@ -250,9 +251,9 @@
       const jobs::StepSpec& step = StepOf(*job, task);
       const Duration onePercent = step.m_estimate / kPercent;
       const Duration timeout = std::max(m_options.m_stuckAfter, 3 * onePercent);
-      if (!step.m_longRunning && !step.m_fills && !step.m_gang &&
+      if (!step.m_longRunning && !step.m_bestEffort && !step.m_gang &&
           aNow >= progress.m_since + timeout &&
-          worker.m_heardAt > progress.m_since) {
+          worker.m_lastReportAt > progress.m_since) {
         stuck.push_back({ task, progress.m_run });
         worker.m_toStop.insert({ task, progress.m_run });
         CountOutcome(worker, jobs::RunEnd::kFailed, aNow);
@@ -270,12 +271,12 @@
 void
 WorkerTable::TrackInstance(Worker& aWorker,
                            const WorkerReport& aReport,
-                           const jobs::Book& aBook,
+                           const jobs::JobTable& aBook,
                            TimePoint aNow,
                            WallTime aWall,
-                           Heard& aResult)
+                           ReportResult& aResult)
 {
-  if (aReport.m_instance.Get().empty() || aReport.m_worker.SaysStart()) {
+  if (aReport.m_instance.Get().empty() || aReport.m_worker.HasStartTime()) {
     return;
   }
   const CurrentIncarnation& current =
@@ -286,12 +287,12 @@
   if (current.m_incarnation == aReport.m_worker) {
     return;
   }
-  const WorkerLife previous = current.m_incarnation;
+  const WorkerIncarnation previous = current.m_incarnation;
   const Worker* known = Find(previous);
   const bool isConfirmed =
-    known == nullptr || known->m_silent ||
-    (aNow >= aWorker.m_firstHeardAt + m_options.m_confirmIncarnationAfter &&
-     known->m_heardAt < aWorker.m_firstHeardAt);
+    known == nullptr || known->m_isLost ||
+    (aNow >= aWorker.m_firstReportAt + m_options.m_confirmIncarnationAfter &&
+     known->m_lastReportAt < aWorker.m_firstReportAt);
   if (isConfirmed) {
     aWorker.m_health =
       Supersede(previous, aReport, aBook, aNow, aWall, aResult);
@@ -302,10 +303,10 @@
 void
 WorkerTable::AcceptEnds(Worker& aWorker,
                         const WorkerReport& aReport,
-                        const jobs::Book& aBook,
+                        const jobs::JobTable& aBook,
                         TimePoint aNow,
                         WallTime aWall,
-                        Heard& aResult)
+                        ReportResult& aResult)
 {
   for (const EndReport& end : aReport.m_ended) {
     if (end.m_number <= aWorker.m_acceptedUpTo) {
@@ -320,7 +321,7 @@
     // The same start was sent twice because its answer seemed lost. The worker
     // refuses the second one, and the run continues.
     const bool isSecondStart =
-      end.m_how == jobs::RunEnd::kRefused && HasOtherReport(aReport, end);
+      end.m_endReason == jobs::RunEnd::kRefused && HasOtherReport(aReport, end);
     const bool isLate = IsDoneLate(aBook, end);
     const bool isKept =
       isLate || (!isSecondStart &&
@@ -341,11 +342,11 @@
     if (!isKept) {
       continue;
     }
-    CountOutcome(aWorker, end.m_how, aNow);
+    CountOutcome(aWorker, end.m_endReason, aNow);
     m_checkpoints.erase(end.m_task);
     aResult.m_changed = true;
     aResult.m_ends.push_back(
-      { end.m_task, end.m_run, end.m_how, end.m_checkpoint, aWall });
+      { end.m_task, end.m_run, end.m_endReason, end.m_checkpoint, aWall });
     aResult.m_ends.back().m_isLate = isLate;
   }
 }
@@ -354,7 +355,7 @@
 WorkerTable::TakeReceipts()
 {
   std::vector<Receipt> receipts;
-  for (const WorkerLife& id : std::exchange(m_withoutReceipt, {})) {
+  for (const WorkerIncarnation& id : std::exchange(m_withoutReceipt, {})) {
     if (const Worker* worker = Find(id)) {
       receipts.push_back({ id, worker->m_acceptedUpTo });
     }
@@ -375,7 +376,7 @@
 }
 
 void
-WorkerTable::TakeBack(const std::vector<Receipt>& aReceipts)
+WorkerTable::Rollback(const std::vector<Receipt>& aReceipts)
 {
   for (const Receipt& receipt : aReceipts) {
     const auto found = m_workers.find(receipt.m_worker);
@@ -403,11 +404,11 @@
 // A run that is being stopped reserves its resources until it ends, even if
 // the state has already placed it elsewhere.
 void
-WorkerTable::CountActive(Worker& aWorker, const jobs::Book& aBook) const
+WorkerTable::CountActive(Worker& aWorker, const jobs::JobTable& aBook) const
 {
-  const WorkerReport& report = aWorker.m_last;
+  const WorkerReport& report = aWorker.m_lastReport;
   aWorker.m_reservedByActive = {};
-  aWorker.m_strayUse = {};
+  aWorker.m_reservedByUntracked = {};
   const auto isExpected = [&](const auto& aRun) {
     return IsPlaced(aBook, report.m_worker, aRun.m_task, aRun.m_run);
   };
@@ -422,12 +423,12 @@
     const jobs::StepSpec* step = FindStep(aBook, run.m_task);
     if (step == nullptr) {
       aWorker.m_reservedByActive.m_isUnknown = true;
-      aWorker.m_strayUse.m_isUnknown = true;
+      aWorker.m_reservedByUntracked.m_isUnknown = true;
       continue;
     }
     aWorker.m_reservedByActive.Add(*step);
     if (!isExpected(run)) {
-      aWorker.m_strayUse.Add(*step);
+      aWorker.m_reservedByUntracked.Add(*step);
     }
   }
 }
@@ -435,15 +436,16 @@
 // A worker may report less free capacity after a start was decided. A worker
 // that does not check its capacity would accept the start anyway.
 std::vector<WorkerTable::PendingStart>
-WorkerTable::FindPending(const Worker& aWorker, const jobs::Book& aBook) const
+WorkerTable::FindPending(const Worker& aWorker,
+                         const jobs::JobTable& aBook) const
 {
   std::vector<PendingStart> pending;
-  const WorkerReport& report = aWorker.m_last;
-  const auto placed = aBook.Placed().find(report.m_worker);
-  if (placed == aBook.Placed().end()) {
+  const WorkerReport& report = aWorker.m_lastReport;
+  const auto placed = aBook.TasksByWorker().find(report.m_worker);
+  if (placed == aBook.TasksByWorker().end()) {
     return pending;
   }
-  RoomUse use = aWorker.m_reservedByActive;
+  ReservedCapacity use = aWorker.m_reservedByActive;
   for (const jobs::TaskRef& ref : placed->second) {
     const RunNumber run = aBook.FindTask(ref)->m_lastRun;
     if (Contains(report.m_active, ref, run) ||
@@ -452,7 +454,7 @@
     }
     const jobs::Job* job = aBook.Find(ref.m_job);
     const jobs::StepSpec& step = StepOf(*job, ref);
-    const bool fits = use.Leaves(report.m_capacity, step);
+    const bool fits = use.LeavesCapacityFor(report.m_capacity, step);
     if (fits) {
       use.Add(step);
     }
@@ -470,27 +472,27 @@
 // would run a second time elsewhere.
 void
 WorkerTable::EndLostStarts(Worker& aWorker,
-                           const jobs::Book& aBook,
+                           const jobs::JobTable& aBook,
                            TimePoint aNow,
                            WallTime aWall,
-                           Heard& aResult)
+                           ReportResult& aResult)
 {
-  const auto placed = aBook.Placed().find(aWorker.m_last.m_worker);
-  if (placed == aBook.Placed().end() ||
+  const auto placed = aBook.TasksByWorker().find(aWorker.m_lastReport.m_worker);
+  if (placed == aBook.TasksByWorker().end() ||
       placed->second.size() == aWorker.m_reportedRuns) {
     return;
   }
   for (const PendingStart& start : FindPending(aWorker, aBook)) {
     const jobs::TaskRef& ref = start.m_task;
     const bool isWanted = start.m_job->m_state == jobs::JobState::kActive &&
-                          !aWorker.m_last.m_draining && start.m_fits;
+                          !aWorker.m_lastReport.m_draining && start.m_fits;
     if (isWanted) {
       continue;
     }
     const auto sent = aWorker.m_sentAt.find(ref);
     const TimePoint since =
       sent == aWorker.m_sentAt.end() ? m_leaderSince : sent->second;
-    const bool isLostStart = aNow >= since + m_options.m_lateReports;
+    const bool isLostStart = aNow >= since + m_options.m_maxReportDelay;
     if (isLostStart) {
       aWorker.m_sentAt.erase(ref);
       aResult.m_changed = true;
@@ -511,7 +513,7 @@
   const Worker* worker = Find(aState.m_worker);
   const RunReport* run = FindRun(aTask, aState);
   return run != nullptr && run->m_percent >= kReadyPercent &&
-         !IsInDoubt(*worker, aNow) &&
+         !IsUnresponsive(*worker, aNow) &&
          !worker->m_toStop.contains({ aTask, aState.m_lastRun });
 }
 
@@ -546,7 +548,7 @@
     jobs::TaskRef other = aTask;
     other.m_index = i;
     const Worker* worker = Find(tasks[i].m_worker);
-    if (worker != nullptr && !worker->m_last.m_draining &&
+    if (worker != nullptr && !worker->m_lastReport.m_draining &&
         worker->m_toStop.contains({ other, tasks[i].m_lastRun })) {
       return true;
     }
@@ -558,7 +560,7 @@
 WorkerTable::RequestStop(const jobs::TaskRef& aTask, RunNumber aRun)
 {
   for (auto& [id, worker] : m_workers) {
-    if (Contains(worker.m_last.m_active, aTask, aRun)) {
+    if (Contains(worker.m_lastReport.m_active, aTask, aRun)) {
       worker.m_toStop.insert({ aTask, aRun });
     }
   }
--- a/src/request/engine.cpp
+++ b/src/request/engine.cpp
@@ -31,15 +31,15 @@
 {
   switch (aResult.m_end) {
     case AttemptEnd::kAnswered:
-      return aResult.m_status >= kFirstServerError ? routing::Verdict::kBad
-                                                   : routing::Verdict::kGood;
+      return aResult.m_status >= kFirstServerError ? routing::Verdict::kFailure
+                                                   : routing::Verdict::kSuccess;
     case AttemptEnd::kTimedOut:
       return routing::Verdict::kTimedOut;
     case AttemptEnd::kNotSent:
-    case AttemptEnd::kBroken:
+    case AttemptEnd::kIncomplete:
       break;
   }
-  return routing::Verdict::kBad;
+  return routing::Verdict::kFailure;
 }
 
 } // namespace
@@ -78,7 +78,7 @@
       return "the attempt before this one is not on record as not run";
     case Reason::kNotSent:
       return "no upstream could be reached";
-    case Reason::kBroken:
+    case Reason::kIncomplete:
       return "the upstream broke off before a whole answer";
     case Reason::kTimedOut:
       return "the upstream did not answer in time";
@@ -259,11 +259,11 @@
 }
 
 std::vector<std::pair<InstanceId, std::uint32_t>>
-Engine::Leftovers() const
+Engine::DrainingInFlight() const
 {
   std::vector<std::pair<InstanceId, std::uint32_t>> all;
   for (const auto& [id, service] : m_services) {
-    const auto inFlight = service.m_router.Leftovers();
+    const auto inFlight = service.m_router.DrainingInFlight();
     all.insert(all.end(), inFlight.begin(), inFlight.end());
   }
   return all;
@@ -287,13 +287,13 @@
   return { aRequest.m_arrival.m_class, aRequest.m_deadline, aLocal.Get() };
 }
 
-admission::Service
+admission::ServiceLoad
 Engine::LoadOf(ServiceState& aService, TimePoint aNow) const
 {
   return { aService.m_router.Capacity(aNow),
            aService.m_router.InFlight(),
-           aService.m_router.MeanTime(),
-           aService.m_router.UsualTime() };
+           aService.m_router.MeanServiceTime(),
+           aService.m_router.MaxUsualServiceTime() };
 }
 
 Reason
@@ -319,13 +319,13 @@
       aService.m_requests > share) {
     return Reason::kEntryFull;
   }
-  const admission::Service load = LoadOf(aService, aNow);
+  const admission::ServiceLoad load = LoadOf(aService, aNow);
   aWait = aService.m_queue.EstimateWait(
     TicketOf(aRequest.m_arrival.m_local, aRequest), load);
   if (aService.m_queue.Size() >= aService.m_service.m_queueLimit) {
     return Reason::kQueueFull;
   }
-  if (aNow + aWait + load.m_usualTime > aRequest.m_deadline) {
+  if (aNow + aWait + load.m_maxUsualServiceTime > aRequest.m_deadline) {
     return Reason::kDeadline;
   }
   return Reason::kNone;
@@ -369,14 +369,14 @@
   }
   request.m_phase = Phase::kRecording;
   request.m_ticket = ++m_lastTicket;
-  m_actions.push_back(AskBegin{ { request.m_arrival.m_request,
-                                  request.m_arrival.m_attempt,
-                                  request.m_arrival.m_digest,
-                                  m_self,
-                                  request.m_ticket,
-                                  false },
-                                local,
-                                timeout });
+  m_actions.push_back(BeginAttempt{ { request.m_arrival.m_request,
+                                      request.m_arrival.m_attempt,
+                                      request.m_arrival.m_digest,
+                                      m_self,
+                                      request.m_ticket,
+                                      false },
+                                    local,
+                                    timeout });
 }
 
 // Other entries may hold copies of the request, and "not run" holds only if
@@ -389,7 +389,7 @@
                TimePoint aNow)
 {
   Request& request = m_requests.at(aLocal);
-  if (request.m_isIdempotent || !request.m_arrival.m_keyed) {
+  if (request.m_isIdempotent || !request.m_arrival.m_hasCallerId) {
     GiveUp(aLocal, aReason, aRetryAfter);
     return;
   }
@@ -399,14 +399,14 @@
   request.m_ticket = ++m_lastTicket;
   const Duration timeout =
     std::min(m_options.m_recordTimeout, request.m_deadline - aNow);
-  m_actions.push_back(AskBegin{ { request.m_arrival.m_request,
-                                  request.m_arrival.m_attempt,
-                                  request.m_arrival.m_digest,
-                                  m_self,
-                                  request.m_ticket,
-                                  true },
-                                aLocal,
-                                timeout });
+  m_actions.push_back(BeginAttempt{ { request.m_arrival.m_request,
+                                      request.m_arrival.m_attempt,
+                                      request.m_arrival.m_digest,
+                                      m_self,
+                                      request.m_ticket,
+                                      true },
+                                    aLocal,
+                                    timeout });
 }
 
 // ------------------------------------------------------------ outcome records
@@ -461,7 +461,7 @@
   // was committed after all. If this entry generated the id, no copy exists
   // that could run.
   ResolveRecord(request, aLocal, outcome::State::kNotRun, false);
-  const bool isNotRun = !request.m_arrival.m_keyed;
+  const bool isNotRun = !request.m_arrival.m_hasCallerId;
   Finish(
     aLocal,
     Conclude{ aLocal,
@@ -538,9 +538,9 @@
 void
 Engine::DropExpired(ServiceState& aService, TimePoint aNow)
 {
-  const Duration maxUsualServiceTime = aService.m_router.UsualTime();
+  const Duration maxUsualServiceTime = aService.m_router.MaxUsualServiceTime();
   for (const auto& ticket :
-       aService.m_queue.TakeLate(maxUsualServiceTime, aNow)) {
+       aService.m_queue.TakeExpired(maxUsualServiceTime, aNow)) {
     const Duration wait =
       aService.m_queue.EstimateWait(ticket, LoadOf(aService, aNow));
     GiveUp(LocalId{ ticket.m_id }, Reason::kDeadline, wait);
@@ -607,7 +607,7 @@
   }
   ServiceState& service = *FindService(request.m_arrival.m_service);
   service.m_router.Finish(
-    request.m_pick->m_instance, VerdictOf(aResult), aResult.m_took, aNow);
+    request.m_pick->m_instance, VerdictOf(aResult), aResult.m_elapsed, aNow);
   const bool notRun =
     aResult.m_end == AttemptEnd::kNotSent || aResult.m_provesNotRun;
   request.m_mayHaveRun = request.m_mayHaveRun || !notRun;
@@ -633,7 +633,7 @@
       aResult.m_end == AttemptEnd::kNotSent
         ? Reason::kNotSent
         : (aResult.m_end == AttemptEnd::kTimedOut ? Reason::kTimedOut
-                                                  : Reason::kBroken);
+                                                  : Reason::kIncomplete);
     RetryOrGiveUp(aLocal, request, reason, aNow);
   }
   StartQueued(service, aNow);
@@ -682,7 +682,7 @@
     const Duration timeout =
       std::max<Duration>(request.m_deadline - aNow, Millis{ 1 });
     m_actions.push_back(
-      AskRecord{ local, request.m_arrival.m_request, timeout });
+      QueryRecord{ local, request.m_arrival.m_request, timeout });
   }
 }
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -362,7 +362,7 @@
   if (aVerdict == Verdict::kAbandoned) {
     return;
   }
-  const bool isSuccess = aVerdict == Verdict::kGood;
+  const bool isSuccess = aVerdict == Verdict::kSuccess;
   const double share = ErrorShare(upstream, aNow);
   upstream.m_errorShare =
     share + kErrorGain * ((isSuccess ? 0.0 : 1.0) - share);
@@ -454,7 +454,7 @@
 }
 
 std::vector<std::pair<InstanceId, std::uint32_t>>
-Router::Leftovers() const
+Router::DrainingInFlight() const
 {
   std::vector<std::pair<InstanceId, std::uint32_t>> inFlight;
   for (const Upstream& upstream : m_upstreams) {
--- a/src/rpc/channel.cpp
+++ b/src/rpc/channel.cpp
@@ -39,7 +39,7 @@
 }
 
 void
-Channel::Drop()
+Channel::Disconnect()
 {
   ++m_generation;
   m_control = nullptr;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -21,7 +21,7 @@
 
 constexpr unsigned long kMaxPort = 65535;
 
-Problem
+ValidationError
 MakeError(const std::string& aFile,
           std::string aField,
           std::string aValue,
@@ -68,7 +68,9 @@
 }
 
 bool
-CheckSchema(const Json& aJson, const std::string& aFile, Problem& aError)
+CheckSchema(const Json& aJson,
+            const std::string& aFile,
+            ValidationError& aError)
 {
   const Json schemaJson = Json::parse(kSettingsSchema);
   valijson::Schema schema;
@@ -147,7 +149,7 @@
 ReadAddresses(const Json& aJson,
               const std::string& aFile,
               Settings& aSettings,
-              Problem& aError)
+              ValidationError& aError)
 {
   const auto read = [&](const Json& aText, const std::string& aField) {
     auto address = ParseAddress(aText.get<std::string>());
@@ -181,7 +183,7 @@
 ReadHosting(const Json& aJson,
             const std::string& aFile,
             Settings& aSettings,
-            Problem& aError)
+            ValidationError& aError)
 {
   if (!aJson.contains("hosting")) {
     return true;
@@ -207,10 +209,10 @@
   ReadIfPresent(from, "formGroup", to.m_formGroup);
   ReadIfPresent(from, "toleratedLosses", to.m_toleratedLosses);
   ReadIfPresent(from, "ordersPerSecond", to.m_ordersPerSecond);
-  ReadSeconds(from, "maintenanceSeconds", to.m_maintenanceTakes);
-  ReadSeconds(from, "moveSeconds", to.m_moveTakes);
-  to.m_betweenLeaders =
-    Millis{ from.value("leaderGapMs", to.m_betweenLeaders.count()) };
+  ReadSeconds(from, "maintenanceSeconds", to.m_expectedDowntime);
+  ReadSeconds(from, "moveSeconds", to.m_moveDuration);
+  to.m_handoverDelay =
+    Millis{ from.value("leaderGapMs", to.m_handoverDelay.count()) };
   if (from.contains("rpcPort")) {
     to.m_rpcPort = from.at("rpcPort").get<std::uint16_t>();
     for (Address& seed : aSettings.m_controlSeeds) {
@@ -223,7 +225,7 @@
 bool
 CheckConsistency(const Settings& aSettings,
                  const std::string& aFile,
-                 Problem& aError)
+                 ValidationError& aError)
 {
   if (aSettings.m_control && !aSettings.m_rpc) {
     aError = MakeError(
@@ -300,14 +302,14 @@
 }
 
 std::string
-ToText(const Problem& aError)
+ToText(const ValidationError& aError)
 {
   return aError.m_file + ": " + aError.m_field + ": found " + aError.m_value +
          "; allowed: " + aError.m_allowed;
 }
 
 std::optional<Settings>
-Load(const std::string& aFile, Problem& aError)
+Load(const std::string& aFile, ValidationError& aError)
 {
   std::ifstream in(aFile);
   if (!in) {
@@ -321,7 +323,9 @@
 }
 
 std::optional<Settings>
-Parse(const std::string& aText, const std::string& aFile, Problem& aError)
+Parse(const std::string& aText,
+      const std::string& aFile,
+      ValidationError& aError)
 {
   Json json;
   try {
--- a/src/storage/log_store.cpp
+++ b/src/storage/log_store.cpp
@@ -109,7 +109,7 @@
 }
 
 bool
-MayPass(const Failure& aFailure) noexcept
+IsRetryable(const Failure& aFailure) noexcept
 {
   return aFailure.m_error == Error::kWriteFailed;
 }
@@ -173,7 +173,7 @@
 std::unique_ptr<LogStore>
 LogStore::Open(const fs::path& aFolder,
                const InstanceId& aInstance,
-               Opened& aOpened,
+               OpenResult& aOpened,
                Failure& aFailure,
                FileCalls aCalls)
 {
@@ -224,7 +224,7 @@
 
 bool
 LogStore::ReadIdentity(const InstanceId& aInstance,
-                       Opened& aOpened,
+                       OpenResult& aOpened,
                        Failure& aFailure)
 {
   const fs::path file = m_folder / kIdentityFile;
@@ -259,7 +259,7 @@
 
 bool
 LogStore::CreateIdentity(const InstanceId& aInstance,
-                         Opened& aOpened,
+                         OpenResult& aOpened,
                          Failure& aFailure)
 {
   const fs::path log = LogFile(std::max<std::uint64_t>(m_generation, 1));
@@ -274,7 +274,7 @@
     return false;
   }
   m_generation = std::max<std::uint64_t>(m_generation, 1);
-  aOpened.m_fresh = true;
+  aOpened.m_isNew = true;
   aOpened.m_self = { aInstance, Incarnation{ RandomIncarnation() } };
   const nlohmann::json json{ { "instance", aInstance.Get() },
                              { "incarnation",
@@ -286,7 +286,7 @@
 }
 
 bool
-LogStore::ReadLog(Opened& aOpened, Failure& aFailure)
+LogStore::ReadLog(OpenResult& aOpened, Failure& aFailure)
 {
   const fs::path file = LogFile(m_generation);
   const std::optional<std::string> bytes = ReadFile(file);
@@ -318,7 +318,8 @@
                              : "the record does not decode" };
       return false;
     }
-    aOpened.m_cut = TruncatedTail{ file, offset, bytes->size() - offset };
+    aOpened.m_truncatedTail =
+      TruncatedTail{ file, offset, bytes->size() - offset };
     break;
   }
   m_size = offset;
--- a/src/telemetry/trace.cpp
+++ b/src/telemetry/trace.cpp
@@ -405,7 +405,7 @@
 }
 
 std::unique_ptr<ot::Span>
-StartSpanBelow(ot::Tracer& aTracer,
+StartChildSpan(ot::Tracer& aTracer,
                const std::string& aName,
                const TraceContext& aParent)
 {
--- a/src/waves/planner.cpp
+++ b/src/waves/planner.cpp
@@ -42,7 +42,7 @@
 std::optional<WaveStep>
 NextStep(const Instance& aInstance,
          const WaveInstance& aStep,
-         const Observed& aObserved)
+         const Observations& aObserved)
 {
   switch (aStep.m_step) {
     case WaveStep::kDraining:
@@ -170,7 +170,7 @@
 }
 
 std::vector<fleet::Command>
-NextSteps(const State& aState, const Observed& aObserved)
+NextSteps(const State& aState, const Observations& aObserved)
 {
   std::vector<fleet::Command> commands;
   std::map<ServiceId, Budget> budgets;
@@ -227,7 +227,7 @@
 }
 
 std::vector<const Instance*>
-Released(const State& aState)
+AwaitingRestart(const State& aState)
 {
   std::vector<const Instance*> released;
   for (const auto& [id, wave] : aState.Waves()) {
--- a/src/wire/jobs_json.cpp
+++ b/src/wire/jobs_json.cpp
@@ -34,9 +34,9 @@
     Reject("count",
            "a whole number from 1 to " + std::to_string(kMaxTasksOfStep));
   }
-  step.m_needs = { CountAt(aFrom, "cpuMillis"),
-                   CountAt(aFrom, "memoryMb"),
-                   CountAt(aFrom, "accelerators") };
+  step.m_resources = { CountAt(aFrom, "cpuMillis"),
+                       CountAt(aFrom, "memoryMb"),
+                       CountAt(aFrom, "accelerators") };
   step.m_estimate = MillisAt(aFrom, "estimateMs");
   for (const Json& earlier : ListAt(aFrom, "dependsOn")) {
     step.m_dependsOn.push_back(CountOf(earlier, "dependsOn"));
@@ -44,16 +44,16 @@
       Reject("dependsOn", "numbers of earlier steps");
     }
   }
-  step.m_savesProgress = FlagAt(aFrom, "savesProgress");
-  step.m_gang = FlagAt(aFrom, "gang");
-  step.m_sameRack = FlagAt(aFrom, "sameRack");
-  step.m_speculative = FlagAt(aFrom, "speculative");
-  step.m_longRunning = FlagAt(aFrom, "longRunning");
-  step.m_fills = FlagAt(aFrom, "fills");
-  step.m_requiredLabel = TextAt(aFrom, "requiredLabel");
-  step.m_preferredRack = RackId{ TextAt(aFrom, "preferredRack") };
+  step.m_savesProgress = BoolAt(aFrom, "savesProgress");
+  step.m_gang = BoolAt(aFrom, "gang");
+  step.m_sameRack = BoolAt(aFrom, "sameRack");
+  step.m_speculative = BoolAt(aFrom, "speculative");
+  step.m_longRunning = BoolAt(aFrom, "longRunning");
+  step.m_bestEffort = BoolAt(aFrom, "fills");
+  step.m_requiredLabel = StringAt(aFrom, "requiredLabel");
+  step.m_preferredRack = RackId{ StringAt(aFrom, "preferredRack") };
   step.m_maxPerWorker = CountAt(aFrom, "maxPerWorker");
-  step.m_image = ImageId{ TextAt(aFrom, "image") };
+  step.m_image = ImageId{ StringAt(aFrom, "image") };
   step.m_latencyTarget = MillisAt(aFrom, "latencyTargetMs");
   if (Find(aFrom, "disruptionBudget") != nullptr) {
     step.m_disruptionBudget = CountAt(aFrom, "disruptionBudget");
@@ -67,7 +67,7 @@
   if (!aFrom.is_object()) {
     Reject("task", "an object");
   }
-  return { JobId{ NameAt(aFrom, "job") },
+  return { JobId{ NonEmptyStringAt(aFrom, "job") },
            CountAt(aFrom, "occurrence"),
            CountAt(aFrom, "step"),
            CountAt(aFrom, "index") };
@@ -83,10 +83,10 @@
            { "run", aRun.Get() } };
 }
 
-WorkerLife
+WorkerIncarnation
 ReadIncarnation(const std::string& aWorker, const Json& aFrom)
 {
-  return { WorkerId{ aWorker }, WallTime{ WholeAt(aFrom, "startedAtMs") } };
+  return { WorkerId{ aWorker }, WallTime{ IntegerAt(aFrom, "startedAtMs") } };
 }
 
 jobs::RunEnd
@@ -123,12 +123,12 @@
 }
 
 std::optional<jobs::JobSpec>
-ReadJobSpec(const std::string& aBody, BadField& aBad)
+ReadJobSpec(const std::string& aBody, InvalidField& aBad)
 {
-  return Guarded(aBad, [&]() {
+  return CatchInvalidField(aBad, [&]() {
     const Json body = ParseObject(aBody);
     jobs::JobSpec spec;
-    spec.m_payload = TextAt(body, "payload");
+    spec.m_payload = StringAt(body, "payload");
     const Json& steps = ListAt(body, "steps", true);
     if (steps.empty() || steps.size() > kMaxSteps) {
       Reject("steps", "1 to " + std::to_string(kMaxSteps) + " steps");
@@ -137,18 +137,18 @@
       spec.m_steps.push_back(ReadStep(step, spec.m_steps.size()));
     }
     spec.m_repeatCount = CountAt(body, "repeatCount");
-    spec.m_startAt = WallTime{ WholeAt(body, "startAtMs") };
+    spec.m_startAt = WallTime{ IntegerAt(body, "startAtMs") };
     spec.m_interval = MillisAt(body, "intervalMs");
     return spec;
   });
 }
 
-std::optional<WorkerLife>
+std::optional<WorkerIncarnation>
 ReadWorkerLeave(const std::string& aWorker,
                 const std::string& aBody,
-                BadField& aBad)
+                InvalidField& aBad)
 {
-  return Guarded(aBad, [&]() {
+  return CatchInvalidField(aBad, [&]() {
     const Json body = aBody.empty() ? Json::object() : ParseObject(aBody);
     return ReadIncarnation(aWorker, body);
   });
@@ -157,39 +157,39 @@
 std::optional<placement::WorkerReport>
 ReadWorkerReport(const std::string& aWorker,
                  const std::string& aBody,
-                 BadField& aBad)
+                 InvalidField& aBad)
 {
-  return Guarded(aBad, [&]() {
+  return CatchInvalidField(aBad, [&]() {
     const Json body = ParseObject(aBody);
     placement::WorkerReport report;
     report.m_worker = ReadIncarnation(aWorker, body);
-    report.m_instance = InstanceId{ NameAt(body, "instance") };
-    report.m_service = ServiceId{ NameAt(body, "service") };
-    report.m_zone = ZoneId{ TextAt(body, "zone") };
-    report.m_rack = RackId{ TextAt(body, "rack") };
+    report.m_instance = InstanceId{ NonEmptyStringAt(body, "instance") };
+    report.m_service = ServiceId{ NonEmptyStringAt(body, "service") };
+    report.m_zone = ZoneId{ StringAt(body, "zone") };
+    report.m_rack = RackId{ StringAt(body, "rack") };
     for (const Json& label : ListAt(body, "labels")) {
-      report.m_labels.insert(TextOf(label, "labels"));
+      report.m_labels.insert(StringOf(label, "labels"));
     }
     report.m_capacity = { CountAt(body, "cpuMillis"),
                           CountAt(body, "memoryMb"),
                           CountAt(body, "accelerators") };
-    report.m_draining = FlagAt(body, "draining");
-    report.m_sequence = static_cast<std::uint64_t>(WholeAt(body, "sequence"));
+    report.m_draining = BoolAt(body, "draining");
+    report.m_sequence = static_cast<std::uint64_t>(IntegerAt(body, "sequence"));
     for (const Json& row : ListAt(body, "active")) {
       placement::RunReport& run = report.m_active.emplace_back();
       run.m_task = ReadTask(row);
       run.m_run = RunNumber{ CountAt(row, "run") };
-      run.m_checkpoint = TextAt(row, "checkpoint");
+      run.m_checkpoint = StringAt(row, "checkpoint");
       run.m_percent = CountAt(row, "percent");
       run.m_load = CountAt(row, "load");
     }
     for (const Json& row : ListAt(body, "ended")) {
       placement::EndReport& end = report.m_ended.emplace_back();
       end.m_task = ReadTask(row);
-      end.m_number = static_cast<std::uint64_t>(WholeAt(row, "number"));
+      end.m_number = static_cast<std::uint64_t>(IntegerAt(row, "number"));
       end.m_run = RunNumber{ CountAt(row, "run") };
-      end.m_how = ReadEnd(TextAt(row, "how"));
-      end.m_checkpoint = TextAt(row, "checkpoint");
+      end.m_endReason = ReadEnd(StringAt(row, "how"));
+      end.m_checkpoint = StringAt(row, "checkpoint");
     }
     return report;
   });
--- a/tests/differential/consensus_history_test.cpp
+++ b/tests/differential/consensus_history_test.cpp
@@ -118,9 +118,9 @@
     faults.m_maxSync = Millis{ 1 + 15 * (seed % 3) };
     // All replicas have the same timeouts: a leader's lease relies on the
     // election timeouts of the voters.
-    faults.m_options.m_heartbeat = Millis{ 15 };
-    faults.m_options.m_electionMin = Millis{ 90 };
-    faults.m_options.m_electionSpread = Millis{ 90 };
+    faults.m_options.m_heartbeatInterval = Millis{ 15 };
+    faults.m_options.m_minElectionTimeout = Millis{ 90 };
+    faults.m_options.m_electionJitter = Millis{ 90 };
     Faults noFaults;
     noFaults.m_options = faults.m_options;
     Replicas replicas(seed % 2 == 0 ? 3 : 5, seed, noFaults);
--- a/tests/platform/decode_test.cpp
+++ b/tests/platform/decode_test.cpp
@@ -6,7 +6,7 @@
 
 TEST_GROUP(PlatformDecode)
 {
-  platform::BadField m_invalid;
+  platform::InvalidField m_invalid;
 
   void CheckBadJob(const char* aField, const std::string& aBody)
   {
@@ -95,7 +95,7 @@
   LONGS_EQUAL(1, run.m_task.m_step);
   LONGS_EQUAL(17, run.m_task.m_index);
   LONGS_EQUAL(12, run.m_load);
-  CHECK(report->m_ended.at(0).m_how == jobs::RunEnd::kLeaseExpired);
+  CHECK(report->m_ended.at(0).m_endReason == jobs::RunEnd::kLeaseExpired);
 }
 
 TEST(PlatformDecode, BadReports_NameTheField)
@@ -126,8 +126,8 @@
   const auto incarnation =
     platform::ReadLeave("i-1", R"({"born":5000000000})", m_invalid);
   CHECK(incarnation ==
-        (WorkerLife{ WorkerId{ "i-1" }, WallTime{ 5'000'000'000 } }));
-  CHECK(!platform::ReadLeave("i-1", "", m_invalid)->SaysStart());
+        (WorkerIncarnation{ WorkerId{ "i-1" }, WallTime{ 5'000'000'000 } }));
+  CHECK(!platform::ReadLeave("i-1", "", m_invalid)->HasStartTime());
   CHECK(!platform::ReadLeave("i-1", R"({"born":"x"})", m_invalid));
   CHECK_STRING("born", m_invalid.m_field);
 }
@@ -135,11 +135,11 @@
 TEST(PlatformDecode, AnswersToMaintenance_AreToldApart)
 {
   using placement::InstanceAnswer;
-  CHECK(platform::ReadInstanceAnswer(200, "{}") == InstanceAnswer::kTaken);
+  CHECK(platform::ReadInstanceAnswer(200, "{}") == InstanceAnswer::kAccepted);
   CHECK(platform::ReadInstanceAnswer(409, R"({"reason":"busy"})") ==
         InstanceAnswer::kBusy);
   CHECK(platform::ReadInstanceAnswer(409, R"({"reason":"fence"})") ==
-        InstanceAnswer::kOvertaken);
+        InstanceAnswer::kSuperseded);
   CHECK(platform::ReadInstanceAnswer(409, "cut off") ==
         InstanceAnswer::kUnclear);
   CHECK(platform::ReadInstanceAnswer(429, "") == InstanceAnswer::kUnclear);
--- a/tests/platform/mutated_test.cpp
+++ b/tests/platform/mutated_test.cpp
@@ -83,28 +83,28 @@
 bool
 IsReadOrNamed(const Read& aRead)
 {
-  platform::BadField invalid;
+  platform::InvalidField invalid;
   return aRead(invalid).has_value() || !invalid.m_field.empty();
 }
 
 bool
 IsHandled(const std::string& aBody)
 {
-  using platform::BadField;
+  using platform::InvalidField;
   platform::ReadInstanceAnswer(409, aBody);
-  return IsReadOrNamed([&](BadField& aInvalid) {
+  return IsReadOrNamed([&](InvalidField& aInvalid) {
            return platform::ReadJob(aBody, aInvalid);
          }) &&
-         IsReadOrNamed([&](BadField& aInvalid) {
+         IsReadOrNamed([&](InvalidField& aInvalid) {
            return platform::ReadRoutes(aBody, aInvalid);
          }) &&
-         IsReadOrNamed([&](BadField& aInvalid) {
+         IsReadOrNamed([&](InvalidField& aInvalid) {
            return platform::ReadReport("w", aBody, aInvalid);
          }) &&
-         IsReadOrNamed([&](BadField& aInvalid) {
+         IsReadOrNamed([&](InvalidField& aInvalid) {
            return platform::ReadWave(aBody, aInvalid);
          }) &&
-         IsReadOrNamed([&](BadField& aInvalid) {
+         IsReadOrNamed([&](InvalidField& aInvalid) {
            return platform::ReadInstances(aBody, aInvalid);
          });
 }
@@ -144,7 +144,7 @@
 // the whole list invalid: no instance would leave standby while it is there.
 TEST(MutatedMessages, UnreadableEntryInList_OthersAreRead)
 {
-  platform::BadField invalid;
+  platform::InvalidField invalid;
   const auto page = platform::ReadInstances(
     R"({"machines":[{"machine":7,"pool":"p","state":"up"},"text",
         {"machine":"a","pool":"p","state":"sleeping"},{"pool":"p"},
--- a/tests/platform/restart_test.cpp
+++ b/tests/platform/restart_test.cpp
@@ -120,7 +120,7 @@
   std::optional<placement::Orders> DeliverReport(const std::string& aBody,
                                                  std::int64_t aAtMs)
   {
-    platform::BadField invalid;
+    platform::InvalidField invalid;
     const auto report = platform::ReadReport("w", aBody, invalid);
     CHECK(report.has_value());
     auto result =
@@ -130,7 +130,8 @@
     m_table->Acknowledge(m_table->TakeReceipts());
     m_fleet.Apply(
       m_planner
-        .Next(m_fleet.State(), *m_table, {}, At(aAtMs), WallTime{ aAtMs })
+        .ComputePlan(
+          m_fleet.State(), *m_table, {}, At(aAtMs), WallTime{ aAtMs })
         .m_changes);
     if (result.m_ignored) {
       return std::nullopt;
@@ -317,7 +318,7 @@
 TEST(WorkerRestart, EarlierIncarnationLeft_NextOneGetsWork)
 {
   ExchangeUntil(m_first, kStartMs, kStartMs + 4'000);
-  platform::BadField invalid;
+  platform::InvalidField invalid;
   const auto report = platform::ReadReport("w", m_first.Report(), invalid);
   m_table->Retire(report->m_worker, m_fleet.Book(), WallTime{ 0 });
   m_fleet.Submit("a", Spec({ Step(1) }));
@@ -360,7 +361,7 @@
   ExchangeUntil(m_first, kStartMs, kStartMs + 4'000);
   m_fleet.Submit("a", Spec({ Step(1) }));
   ExchangeUntil(m_next, kStartMs + 4'300, kStartMs + 4'500);
-  platform::BadField invalid;
+  platform::InvalidField invalid;
   const auto left =
     platform::ReadLeave("w", R"({"born":1790000000000})", invalid);
   CHECK(m_table->Retire(*left, m_fleet.Book(), WallTime{ 0 }).empty());
@@ -374,11 +375,11 @@
 TEST(WorkerRestart, LeaveWithoutStartTime_MeansTheOnlyIncarnationOrNone)
 {
   const WorkerId id{ "w" };
-  CHECK(!m_table->FindOnlyLife(id).has_value());
+  CHECK(!m_table->FindOnlyIncarnation(id).has_value());
   ExchangeUntil(m_first, kStartMs, kStartMs + 4'000);
-  LONGS_EQUAL(kBorn, m_table->FindOnlyLife(id)->m_startedAt.Get());
+  LONGS_EQUAL(kBorn, m_table->FindOnlyIncarnation(id)->m_startedAt.Get());
   ExchangeUntil(m_next, kStartMs + 4'300, kStartMs + 4'500);
-  CHECK(!m_table->FindOnlyLife(id).has_value());
+  CHECK(!m_table->FindOnlyIncarnation(id).has_value());
 }
 
 // Guards against ending all runs after reading a log of an earlier version,
@@ -393,7 +394,7 @@
   m_fleet.Start(Ref("a"), "w", 2);
   m_fleet.Start(Ref("a", 1), "w", 2);
   ReplaceLeader(kStartMs + 100);
-  platform::BadField invalid;
+  platform::InvalidField invalid;
   auto report = platform::ReadReport("w", m_first.Report(), invalid);
   report->m_active = { Active(Ref("a"), 2) };
   const auto result = m_table->OnReport(
@@ -407,8 +408,8 @@
   CHECK(orders.m_stops.empty());
   m_fleet.Restore();
   CHECK(m_fleet.Book().FindTask(Ref("a"))->m_worker == report->m_worker);
-  const auto lost =
-    m_table->FindLost(m_fleet.Book(), At(kStartMs + 6'000), WallTime{ 0 });
+  const auto lost = m_table->CollectLostRuns(
+    m_fleet.Book(), At(kStartMs + 6'000), WallTime{ 0 });
   CHECK(std::any_of(lost.begin(), lost.end(), [](const EndRun& aEnd) {
     return aEnd.m_task == Ref("a", 1);
   }));
@@ -433,7 +434,7 @@
   Exchange(cutOff, kStartMs);
   ExchangeUntil(earlier, kStartMs + 100, kStartMs + 1'300);
   m_fleet.Submit("a", Spec({ Step(1) }));
-  m_table->FindLost(m_fleet.Book(), At(kStartMs + 7'000), WallTime{ 0 });
+  m_table->CollectLostRuns(m_fleet.Book(), At(kStartMs + 7'000), WallTime{ 0 });
   ExchangeUntil(cutOff, kStartMs + 7'000, kStartMs + 8'300);
   LONGS_EQUAL(1, cutOff.Running());
 }
@@ -444,7 +445,7 @@
   Exchange(m_first, kStartMs);
   CHECK(!DeliverReport(m_next.Report(), kStartMs + 100).has_value());
   const Json answer = Json::parse(
-    platform::WriteOrders(m_table->AnswerUnproven(), Term{ 1 }, ""));
+    platform::WriteOrders(m_table->AnswerUnconfirmed(), Term{ 1 }, ""));
   CHECK(!answer.contains("hold_ms"));
   CHECK(!answer.contains("start"));
   CHECK(answer.at("idle_beat_ms") > 0);
--- a/tests/support/entries.cpp
+++ b/tests/support/entries.cpp
@@ -206,7 +206,7 @@
     arrival.m_local = local;
     arrival.m_service = ServiceId{ "s" };
     arrival.m_request = aRequest;
-    arrival.m_keyed = aKeyed;
+    arrival.m_hasCallerId = aKeyed;
     arrival.m_attempt = aAttempt;
     arrival.m_idempotentMethod = aIdempotent;
     arrival.m_digest = aRequest.Get();
@@ -241,13 +241,13 @@
 // Calls to the control group
 
 void
-Entries::Execute(std::size_t aEntry, const request::AskBegin& aAsk)
+Entries::Execute(std::size_t aEntry, const request::BeginAttempt& aAsk)
 {
   const bool cut = m_entries[aEntry].m_cutFromControl;
   const bool lostBefore = cut || RandomFraction() < m_faults.m_controlLoss;
   const bool lostAfter = RandomFraction() < m_faults.m_controlLoss;
-  const TimePoint until = m_now + aAsk.m_patience;
-  const request::AskBegin ask = aAsk;
+  const TimePoint until = m_now + aAsk.m_timeout;
+  const request::BeginAttempt ask = aAsk;
   // The call is delivered and committed even if its sender has restarted.
   const std::uint64_t incarnation = m_entries[aEntry].m_incarnationCount;
   After(RandomUpTo(m_faults.m_maxControlDelay), [=, this]() {
@@ -290,17 +290,17 @@
         Pump(aEntry);
         return;
       }
-      request::AskBegin again = ask;
-      again.m_patience = until - m_now;
+      request::BeginAttempt again = ask;
+      again.m_timeout = until - m_now;
       Execute(aEntry, again);
     });
   });
 }
 
 void
-Entries::Execute(std::size_t aEntry, const request::AskRecord& aAsk)
+Entries::Execute(std::size_t aEntry, const request::QueryRecord& aAsk)
 {
-  const request::AskRecord ask = aAsk;
+  const request::QueryRecord ask = aAsk;
   const bool cut = m_entries[aEntry].m_cutFromControl;
   AfterAt(aEntry, RandomUpTo(m_faults.m_maxControlDelay), [=, this]() {
     request::BeginResult result;
@@ -342,7 +342,7 @@
   Entry& entry = m_entries[aEntry];
   const Copy copy = entry.m_copies.at(aDispatch.m_local);
   const request::LocalId local = aDispatch.m_local;
-  const std::uint32_t number = aDispatch.m_number;
+  const std::uint32_t number = aDispatch.m_attemptNumber;
   const InstanceId target = aDispatch.m_upstream.m_instance;
   const TimePoint until = m_now + aDispatch.m_timeout;
   const auto answer = [=, this](request::AttemptResult aResult,
@@ -387,9 +387,9 @@
   const bool timedOut = m_now + travelTime + service > until;
   const bool cut = RandomFraction() < m_faults.m_cutAnswer;
   result.m_end = timedOut ? request::AttemptEnd::kTimedOut
-                 : cut    ? request::AttemptEnd::kBroken
+                 : cut    ? request::AttemptEnd::kIncomplete
                           : request::AttemptEnd::kAnswered;
-  result.m_took = travelTime + service;
+  result.m_elapsed = travelTime + service;
   answer(result, timedOut ? until - m_now : travelTime + service);
 }
 
--- a/tests/support/entries.h
+++ b/tests/support/entries.h
@@ -122,8 +122,8 @@
   void StartIncarnation(std::size_t aEntry);
   void GrantLeases();
   void Pump(std::size_t aEntry);
-  void Execute(std::size_t aEntry, const request::AskBegin& aAsk);
-  void Execute(std::size_t aEntry, const request::AskRecord& aAsk);
+  void Execute(std::size_t aEntry, const request::BeginAttempt& aAsk);
+  void Execute(std::size_t aEntry, const request::QueryRecord& aAsk);
   void Execute(std::size_t aEntry, const request::Dispatch& aDispatch);
   void Execute(std::size_t aEntry, const request::Relay& aRelay);
   void Execute(std::size_t aEntry, const request::Resolve& aResolve);
--- a/tests/support/job_fixtures.h
+++ b/tests/support/job_fixtures.h
@@ -22,7 +22,7 @@
 {
   jobs::StepSpec step;
   step.m_count = aCount;
-  step.m_needs = { aCpuMillis, 100, 0 };
+  step.m_resources = { aCpuMillis, 100, 0 };
   step.m_estimate = Millis{ 1000 };
   return step;
 }
@@ -37,7 +37,7 @@
 }
 
 /** An incarnation; a start time of 0 means that it is unknown. */
-inline WorkerLife
+inline WorkerIncarnation
 Life(const std::string& aWorker, std::int64_t aStartedAt = 0)
 {
   return { WorkerId{ aWorker }, WallTime{ aStartedAt } };
@@ -146,7 +146,7 @@
   void Restore() { m_state = *fleet::State::Decode(m_state.Encode()); }
 
   const fleet::State& State() const { return m_state; }
-  const jobs::Book& Book() const { return m_state.Jobs(); }
+  const jobs::JobTable& Book() const { return m_state.Jobs(); }
 
 private:
   Index m_index;
--- a/tests/support/processes.cpp
+++ b/tests/support/processes.cpp
@@ -472,7 +472,7 @@
   call.m_target = aTarget;
   call.m_headers = std::move(aHeaders);
   call.m_timeout = aTimeout;
-  call.m_onlyOnce = true;
+  call.m_atMostOnce = true;
   if (!aBody.empty()) {
     call.m_body = std::make_shared<const std::string>(aBody);
   }
--- a/tests/support/simulated_hosting.cpp
+++ b/tests/support/simulated_hosting.cpp
@@ -201,7 +201,7 @@
 {
   Instance& instance = InstanceOf(aOrder.m_order.m_instance);
   if (aOrder.m_term < instance.m_highestTerm) {
-    return InstanceAnswer::kOvertaken;
+    return InstanceAnswer::kSuperseded;
   }
   instance.m_highestTerm = aOrder.m_term;
   if (instance.m_condition != Condition::kUp) {
@@ -213,7 +213,7 @@
     instance.m_until = m_now + Millis{ kMinDownMs + extraMs };
     CheckCaps();
   }
-  return InstanceAnswer::kTaken;
+  return InstanceAnswer::kAccepted;
 }
 
 void
@@ -267,7 +267,7 @@
       aReport.m_report, m_fleet.Book(), Time(), WallTime{ m_now.count() });
     return true;
   });
-  m_table->FindLost(m_fleet.Book(), Time(), WallTime{ m_now.count() });
+  m_table->CollectLostRuns(m_fleet.Book(), Time(), WallTime{ m_now.count() });
   if (m_list && m_now >= m_list->m_at) {
     if (m_list->m_list) {
       m_planner.OnListed(*m_list->m_list);
@@ -281,9 +281,9 @@
     order.m_answerAt.reset();
     const auto result =
       m_planner.OnAnswer(order.m_order, order.m_answer, Time());
-    if (result.m_ended) {
+    if (result.m_endedIncarnation) {
       m_table->Retire(
-        *result.m_ended, m_fleet.Book(), WallTime{ m_now.count() });
+        *result.m_endedIncarnation, m_fleet.Book(), WallTime{ m_now.count() });
     }
     // Some decisions are lost, as if the leader were replaced before the
     // commit.
@@ -300,7 +300,7 @@
       Send(order);
     }
   }
-  if (plan.m_wantsList && !m_list) {
+  if (plan.m_needsInstanceList && !m_list) {
     RequestList();
   }
 }
--- a/tests/support/simulated_pool.cpp
+++ b/tests/support/simulated_pool.cpp
@@ -223,7 +223,7 @@
   return report;
 }
 
-WorkerLife
+WorkerIncarnation
 SimulatedPool::IncarnationOf(const SimulatedWorker& aWorker) const
 {
   return m_options.m_keepsIds
@@ -260,7 +260,7 @@
 void
 SimulatedPool::StepLeader(const std::vector<SimulatedWorker*>& aReporting)
 {
-  const jobs::Book& book = m_fleet.Book();
+  const jobs::JobTable& book = m_fleet.Book();
   std::vector<jobs::EndRun> ends;
   const auto add = [&](const std::vector<jobs::EndRun>& aMore) {
     ends.insert(ends.end(), aMore.begin(), aMore.end());
@@ -281,21 +281,21 @@
       answered.push_back(worker);
     }
   }
-  add(m_table->FindLost(book, Time(), Wall()));
+  add(m_table->CollectLostRuns(book, Time(), Wall()));
   MoveInstances(ends);
   std::vector<jobs::Change> changes{ ends.begin(), ends.end() };
-  const auto settled = m_table->FindSettled(book, Time());
+  const auto settled = m_table->FindStableRuns(book, Time());
   changes.insert(changes.end(), settled.begin(), settled.end());
   if (m_options.m_keepEnded) {
     const Millis before = m_now - *m_options.m_keepEnded;
-    changes.emplace_back(jobs::ForgetEnded{ WallTime{ before.count() } });
+    changes.emplace_back(jobs::RemoveEndedJobs{ WallTime{ before.count() } });
   }
   m_fleet.Apply(std::move(changes));
   m_table->Acknowledge(m_table->TakeReceipts());
   if (!ends.empty() || hasChanged || m_now >= m_nextPass) {
     m_nextPass = m_now + kPlanInterval;
-    placement::Plan plan =
-      m_planner.Next(m_fleet.State(), *m_table, m_cordoned, Time(), Wall());
+    placement::Plan plan = m_planner.ComputePlan(
+      m_fleet.State(), *m_table, m_cordoned, Time(), Wall());
     m_fleet.Apply(std::move(plan.m_changes));
   }
   for (SimulatedWorker* worker : answered) {
@@ -346,7 +346,7 @@
     Crash(worker, kMoveDuration);
     worker.m_downUntil = isOut ? Millis::max() : worker.m_downUntil;
     const auto ended =
-      m_capacity.OnAnswer(order, placement::InstanceAnswer::kTaken, Time());
+      m_capacity.OnAnswer(order, placement::InstanceAnswer::kAccepted, Time());
     if (ended) {
       const auto more =
         m_table->RetireInstance(*ended, Time(), m_fleet.Book(), Wall());
@@ -388,12 +388,12 @@
   aWorker.m_leaseEnd = m_now + ToMillis(aOrders.m_lease);
   // The leader holds a quiet worker's report until it has an order for it.
   const bool isHeld =
-    m_table->IsQuiet(aWorker.m_latest.m_worker, m_fleet.Book());
+    m_table->IsSteady(aWorker.m_latest.m_worker, m_fleet.Book());
   aWorker.m_nextReport =
     m_now + (isHeld ? kStep : ToMillis(aOrders.m_nextReport));
   std::erase_if(aWorker.m_ended, [&](const placement::EndReport& aEnd) {
     const bool isAcked = aEnd.m_number <= aOrders.m_ackedUpTo;
-    if (isAcked && aEnd.m_how == jobs::RunEnd::kDone) {
+    if (isAcked && aEnd.m_endReason == jobs::RunEnd::kDone) {
       m_records[aEnd.m_task].m_isDoneAcked = true;
     }
     return isAcked;
@@ -451,7 +451,7 @@
   const Millis duration =
     step.m_longRunning ? Millis::max() / 2 : step.m_estimate;
   m_startsOverCapacity +=
-    UseOf(aWorker).Leaves(aWorker.m_capacity, step) ? 0 : 1;
+    UseOf(aWorker).LeavesCapacityFor(aWorker.m_capacity, step) ? 0 : 1;
   aWorker.m_runs.push_back(
     { aOrder, m_now, duration, !step.m_gang, step, std::nullopt });
   if (Crashes(aOrder)) {
@@ -464,10 +464,10 @@
   }
 }
 
-placement::RoomUse
+placement::ReservedCapacity
 SimulatedPool::UseOf(const SimulatedWorker& aWorker)
 {
-  placement::RoomUse use;
+  placement::ReservedCapacity use;
   for (const Run& run : aWorker.m_runs) {
     use.Add(run.m_step);
   }
--- a/tests/support/simulated_pool.h
+++ b/tests/support/simulated_pool.h
@@ -135,7 +135,7 @@
 
   void Step();
   void Advance(SimulatedWorker& aWorker);
-  WorkerLife IncarnationOf(const SimulatedWorker& aWorker) const;
+  WorkerIncarnation IncarnationOf(const SimulatedWorker& aWorker) const;
   std::int64_t NextStart(Millis aAt);
   void Crash(SimulatedWorker& aWorker, Millis aDown);
   void BreakGangs(const std::vector<Run>& aLost);
@@ -149,7 +149,7 @@
   void ListStandby();
   std::vector<placement::WorkerReport> TakeDelayedReports();
   bool IsRunning(const jobs::TaskRef& aTask) const;
-  static placement::RoomUse UseOf(const SimulatedWorker& aWorker);
+  static placement::ReservedCapacity UseOf(const SimulatedWorker& aWorker);
   void FollowOrders(SimulatedWorker& aWorker, const placement::Orders& aOrders);
   Millis StopDuration();
   bool IsFaulty(const SimulatedWorker& aWorker) const;
@@ -167,7 +167,7 @@
   placement::Planner m_planner;
   placement::CapacityPlanner m_capacity;
   placement::OrderRecord m_moveRecord{ Millis{ 3000 } };
-  std::set<WorkerLife> m_cordoned;
+  std::set<WorkerIncarnation> m_cordoned;
   Millis m_nextMoves{};
   Millis m_leaderStartsAt{};
   Millis m_nextPass{};
--- a/tests/unit/admission/queue_test.cpp
+++ b/tests/unit/admission/queue_test.cpp
@@ -37,14 +37,14 @@
 
 TEST(Queue, Estimate_GrowsWithThoseAheadAndShrinksWithCapacity)
 {
-  const Service busy{ 4, 4, Millis{ 100 }, Millis{ 200 } };
+  const ServiceLoad busy{ 4, 4, Millis{ 100 }, Millis{ 200 } };
   const Duration empty = m_queue.EstimateWait(MakeTicket(9, 900), busy);
   for (std::uint64_t i = 1; i <= 8; ++i) {
     m_queue.Push(MakeTicket(i, 500));
   }
   const Duration full = m_queue.EstimateWait(MakeTicket(9, 900), busy);
   CHECK(full > empty);
-  const Service wide{ 8, 8, Millis{ 100 }, Millis{ 200 } };
+  const ServiceLoad wide{ 8, 8, Millis{ 100 }, Millis{ 200 } };
   CHECK(m_queue.EstimateWait(MakeTicket(9, 900), wide) < full);
   const Duration urgent =
     m_queue.EstimateWait(MakeTicket(9, 900, Class::kUrgent), busy);
@@ -53,7 +53,7 @@
 
 TEST(Queue, FreeCapacity_NothingWaiting_EstimateIsZero)
 {
-  const Service idle{ 4, 1, Millis{ 100 }, Millis{ 200 } };
+  const ServiceLoad idle{ 4, 1, Millis{ 100 }, Millis{ 200 } };
   CHECK(m_queue.EstimateWait(MakeTicket(1, 900), idle) == Duration::zero());
 }
 
@@ -62,7 +62,7 @@
   m_queue.Push(MakeTicket(1, 10));
   m_queue.Push(MakeTicket(2, 500));
   m_queue.Push(MakeTicket(3, 10, Class::kBatch));
-  const auto late = m_queue.TakeLate(Millis{ 20 }, kStart);
+  const auto late = m_queue.TakeExpired(Millis{ 20 }, kStart);
   LONGS_EQUAL(2, late.size());
   LONGS_EQUAL(1, m_queue.Size());
 }
--- a/tests/unit/consensus/membership_policy_test.cpp
+++ b/tests/unit/consensus/membership_policy_test.cpp
@@ -34,7 +34,7 @@
   void ReceiveFrom(std::initializer_list<int> aSenders, std::int64_t aAt)
   {
     for (const int sender : aSenders) {
-      m_policy.OnHeard(Id(sender), At(aAt));
+      m_policy.OnMessage(Id(sender), At(aAt));
     }
   }
 };
--- a/tests/unit/consensus/replica_test.cpp
+++ b/tests/unit/consensus/replica_test.cpp
@@ -214,7 +214,7 @@
   replicas.RestoreDisk(old);
   replicas.Start(old);
   replicas.Run(Millis{ 700 });
-  CHECK(replicas.At(leader).Regressed().contains(replicas.At(old).Self()));
+  CHECK(replicas.At(leader).RegressedPeers().contains(replicas.At(old).Self()));
   CHECK(ProposeAndWait(replicas, "c"));
   CheckNoViolation(replicas);
 }
@@ -442,7 +442,7 @@
   replica.Receive({ kC, kA, Term{ 3 }, fresh }, now);
   replica.TakeActions();
   replica.OnPersisted(oldTicket, now);
-  LONGS_EQUAL(1, replica.MatchOf(kA).Get());
+  LONGS_EQUAL(1, replica.MatchIndexOf(kA).Get());
 }
 
 // No task starts while there is no leader, so a new one must be elected within
@@ -475,7 +475,7 @@
 TEST(Replica, AllRestarted_LeaderElectedBeforeAnyLeaseWouldEnd)
 {
   constexpr int kSeeds = 60;
-  const Duration maxWait = consensus::ReplicaOptions{}.m_electionMin / 2;
+  const Duration maxWait = consensus::ReplicaOptions{}.m_minElectionTimeout / 2;
   int late = 0;
   for (int seed = 1; seed <= kSeeds; ++seed) {
     Replicas replicas(5, static_cast<std::uint64_t>(seed), {});
@@ -518,7 +518,7 @@
         replicas.Start(i);
       }
     }
-    replicas.Run(consensus::ReplicaOptions{}.m_electionMin * 9 / 10);
+    replicas.Run(consensus::ReplicaOptions{}.m_minElectionTimeout * 9 / 10);
     CHECK_FALSE(replicas.Leader().has_value());
     replicas.Freeze(old, false);
     CHECK(ProposeAndWait(replicas, "b"));
--- a/tests/unit/control/disk_thread_test.cpp
+++ b/tests/unit/control/disk_thread_test.cpp
@@ -53,7 +53,7 @@
   }
 
   fs::path m_folder;
-  storage::Opened m_opened;
+  storage::OpenResult m_opened;
   std::atomic<bool> m_isFull = false;
 };
 
@@ -70,7 +70,7 @@
     disk.Write(Entry(1));
     const auto refused = reports.Take().wait(io.waitScope);
     LONGS_EQUAL(1, refused.size());
-    CHECK(storage::MayPass(*refused.front().m_failure));
+    CHECK(storage::IsRetryable(*refused.front().m_failure));
     disk.Write(Entry(2));
     m_isFull = false;
     std::uint64_t synced = 0;
--- a/tests/unit/control/job_service_test.cpp
+++ b/tests/unit/control/job_service_test.cpp
@@ -33,7 +33,7 @@
       }
       return ::fsync(aFd);
     };
-    storage::Opened opened;
+    storage::OpenResult opened;
     storage::Failure failure;
     auto store = storage::LogStore::Open(
       m_folder, InstanceId{ "c1" }, opened, failure, calls);
@@ -51,9 +51,9 @@
     control::JobServiceOptions jobs;
     jobs.m_calls.m_move = [this](const auto& aOrder, Term, auto aDone) {
       m_movedInstances.push_back(aOrder.m_instance);
-      aDone({ placement::InstanceAnswer::kTaken, Duration{} });
+      aDone({ placement::InstanceAnswer::kAccepted, Duration{} });
     };
-    jobs.m_maintenance.m_quietAfterElection = Duration{};
+    jobs.m_maintenance.m_maxOrderDelay = Duration{};
     jobs.m_calls.m_maintenance = [this](const auto&, Term, auto aDone) {
       ++m_maintenanceOrders;
       m_answerMaintenance = aDone;
@@ -170,7 +170,7 @@
   WallTime m_startedAt;
   std::vector<InstanceId> m_movedInstances;
   int m_maintenanceOrders = 0;
-  control::InstanceCalls::Answered m_answerMaintenance;
+  control::InstanceCalls::AnswerHandler m_answerMaintenance;
   /** Waits for the batch while the disk hangs. */
   std::optional<kj::Promise<WorkerAnswer>> m_endAnswer;
 };
@@ -246,7 +246,7 @@
     RunEventLoopFor(20 * kj::MILLISECONDS);
   }
   m_isSyncHanging = true;
-  m_answerMaintenance({ placement::InstanceAnswer::kTaken, Duration{} });
+  m_answerMaintenance({ placement::InstanceAnswer::kAccepted, Duration{} });
   RunEventLoopFor(500 * kj::MILLISECONDS);
   LONGS_EQUAL(1, m_maintenanceOrders);
 }
@@ -273,7 +273,7 @@
 // Guards against a leave of an earlier incarnation ending the next one.
 TEST(JobService, LateLeaveOfEarlierIncarnation_NextOneIsNotEnded)
 {
-  const WorkerLife earlier = Life("w1", 1'790'000'000'000);
+  const WorkerIncarnation earlier = Life("w1", 1'790'000'000'000);
   Submit("service", LongRunning());
   m_startedAt = WallTime{ 1'790'000'001'000 };
   const placement::StartOrder longRunning = AwaitStart("w1");
--- a/tests/unit/fleet/routes_test.cpp
+++ b/tests/unit/fleet/routes_test.cpp
@@ -46,13 +46,13 @@
 
 TEST(RouteTable, ValidTable_HasNoProblem)
 {
-  CHECK(Check(m_table).m_problem == RouteProblem::kNone);
+  CHECK(ValidateRoutes(m_table).m_problem == RouteProblem::kNone);
 }
 
 TEST(RouteTable, UnknownService_IsFound)
 {
   m_table.m_routes[0].m_service = ServiceId{ "none" };
-  const RouteFinding finding = Check(m_table);
+  const RouteValidation finding = ValidateRoutes(m_table);
   CHECK(finding.m_problem == RouteProblem::kUnknownService);
   CHECK_STRING("a", finding.m_name);
 }
@@ -60,11 +60,11 @@
 TEST(RouteTable, SameHostAndPrefixTwice_IsFound)
 {
   Add("b", "host", "/p/");
-  CHECK(Check(m_table).m_problem == RouteProblem::kDuplicateRoute);
+  CHECK(ValidateRoutes(m_table).m_problem == RouteProblem::kDuplicateRoute);
 }
 
 TEST(RouteTable, TimeoutOfZero_IsFound)
 {
   m_table.m_routes[0].m_timeout = Millis{ 0 };
-  CHECK(Check(m_table).m_problem == RouteProblem::kNoTimeout);
+  CHECK(ValidateRoutes(m_table).m_problem == RouteProblem::kNoTimeout);
 }
--- a/tests/unit/http/client_test.cpp
+++ b/tests/unit/http/client_test.cpp
@@ -37,7 +37,7 @@
     call.m_method = aMethod;
     call.m_target = "/x";
     call.m_timeout = Millis{ 1000 };
-    call.m_onlyOnce = aAtMostOnce;
+    call.m_atMostOnce = aAtMostOnce;
     call.m_maySend = std::move(aMaySend);
     auto promise = std::make_shared<std::promise<CallResult>>();
     m_client.Start(std::move(call), [promise](CallResult aResult) {
@@ -68,7 +68,7 @@
     ReadHead(aSocket);
     test::Write(aSocket, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok");
   });
-  CHECK(Send(server, "GET", true).m_end == CallEnd::kBroken);
+  CHECK(Send(server, "GET", true).m_end == CallEnd::kIncomplete);
 }
 
 TEST(HttpClient, TruncatedChunkedBody_IsIncomplete)
@@ -79,7 +79,7 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 "2\r\nok\r\n");
   });
-  CHECK(Send(server, "GET", true).m_end == CallEnd::kBroken);
+  CHECK(Send(server, "GET", true).m_end == CallEnd::kIncomplete);
 }
 
 // If the end of an answer is marked only by the end of its connection, a
@@ -90,7 +90,7 @@
     ReadHead(aSocket);
     test::Write(aSocket, "HTTP/1.1 200 OK\r\n\r\nok");
   });
-  CHECK(Send(server, "GET", true).m_end == CallEnd::kBroken);
+  CHECK(Send(server, "GET", true).m_end == CallEnd::kIncomplete);
 }
 
 TEST(HttpClient, ConnectionRefused_IsNotSent)
@@ -141,7 +141,7 @@
   RawServer server([&](int aSocket, int) { CloseOnPost(aSocket, posts); });
   CHECK(Send(server, "GET", false).m_end == CallEnd::kAnswered);
   const auto result = Send(server, "POST", true);
-  CHECK(result.m_end == CallEnd::kBroken);
+  CHECK(result.m_end == CallEnd::kIncomplete);
   LONGS_EQUAL(1, posts);
 }
 
@@ -156,7 +156,7 @@
   std::atomic<int> calls = 0;
   const auto result =
     Send(server, "POST", false, [&]() { return ++calls == 1; });
-  CHECK(result.m_end == CallEnd::kBroken);
+  CHECK(result.m_end == CallEnd::kIncomplete);
   LONGS_EQUAL(1, posts);
 }
 
--- a/tests/unit/jobs/book_test.cpp
+++ b/tests/unit/jobs/book_test.cpp
@@ -34,8 +34,8 @@
   CHECK(m_fleet.StateOf("a") == JobState::kActive);
   m_fleet.End(Ref("a", 1), RunEnd::kDone);
   CHECK(m_fleet.StateOf("a") == JobState::kCompleted);
-  CHECK(m_fleet.Book().Placed().empty());
-  CHECK(m_fleet.Book().Open().empty());
+  CHECK(m_fleet.Book().TasksByWorker().empty());
+  CHECK(m_fleet.Book().OpenJobs().empty());
 }
 
 // A worker reports an end repeatedly until it is acknowledged, so the end of an
@@ -108,9 +108,9 @@
   m_fleet.Start(Ref("a"), "w1");
   m_fleet.Apply({ Cancel{ JobId{ "a" }, WallTime{ 1 } } });
   CHECK(m_fleet.StateOf("a") == JobState::kCancelled);
-  LONGS_EQUAL(1, m_fleet.Book().Open().size());
+  LONGS_EQUAL(1, m_fleet.Book().OpenJobs().size());
   m_fleet.End(Ref("a"), RunEnd::kStopped);
-  CHECK(m_fleet.Book().Open().empty());
+  CHECK(m_fleet.Book().OpenJobs().empty());
   m_fleet.Start(Ref("a"), "w1", 2);
   CHECK(TaskOf(Ref("a")).m_phase == TaskPhase::kWaiting);
 }
@@ -125,7 +125,7 @@
   }
   m_fleet.End(Ref("a", 1), RunEnd::kDone);
   CHECK(m_fleet.StateOf("a") == JobState::kCompleted);
-  CHECK(m_fleet.Book().Placed().empty());
+  CHECK(m_fleet.Book().TasksByWorker().empty());
 }
 
 TEST(JobTable, FailuresOfGangMembers_CountTogether)
@@ -146,11 +146,11 @@
   const QueueId queue{ "host/q/" };
   m_fleet.Submit("a", Spec({ Step(1) }));
   m_fleet.Submit("b", Spec({ Step(1) }));
-  LONGS_EQUAL(2, m_fleet.Book().Pending(queue));
+  LONGS_EQUAL(2, m_fleet.Book().PendingJobs(queue));
   m_fleet.Start(Ref("a"), "w1");
-  LONGS_EQUAL(1, m_fleet.Book().Pending(queue));
+  LONGS_EQUAL(1, m_fleet.Book().PendingJobs(queue));
   m_fleet.Apply({ Cancel{ JobId{ "b" }, WallTime{ 1 } } });
-  LONGS_EQUAL(0, m_fleet.Book().Pending(queue));
+  LONGS_EQUAL(0, m_fleet.Book().PendingJobs(queue));
 }
 
 // Guards against callers being told that no job is pending while dozens are.
@@ -163,13 +163,13 @@
   m_fleet.Start(Ref("a", 0), "w1");
   m_fleet.Start(Ref("a", 1), "w2");
   m_fleet.End(Ref("a", 0), RunEnd::kWorkerLost);
-  LONGS_EQUAL(0, m_fleet.Book().Pending(queue));
+  LONGS_EQUAL(0, m_fleet.Book().PendingJobs(queue));
   m_fleet.End(Ref("a", 1), RunEnd::kRefused);
-  LONGS_EQUAL(1, m_fleet.Book().Pending(queue));
+  LONGS_EQUAL(1, m_fleet.Book().PendingJobs(queue));
   m_fleet.Start(Ref("a", 0), "w3", 2);
-  LONGS_EQUAL(0, m_fleet.Book().Pending(queue));
+  LONGS_EQUAL(0, m_fleet.Book().PendingJobs(queue));
   m_fleet.End(Ref("a", 0), RunEnd::kDone, 2);
-  LONGS_EQUAL(0, m_fleet.Book().Pending(queue));
+  LONGS_EQUAL(0, m_fleet.Book().PendingJobs(queue));
 }
 
 TEST(JobTable, RemoveEndedJobs_KeepsActiveAndRecentJobs)
@@ -177,9 +177,9 @@
   m_fleet.Submit("old", Spec({ Step(1) }));
   m_fleet.Submit("active", Spec({ Step(1) }));
   m_fleet.Apply({ Cancel{ JobId{ "old" }, WallTime{ 10 } } });
-  m_fleet.Apply({ ForgetEnded{ WallTime{ 10 } } });
+  m_fleet.Apply({ RemoveEndedJobs{ WallTime{ 10 } } });
   CHECK(m_fleet.Book().Find(JobId{ "old" }) != nullptr);
-  m_fleet.Apply({ ForgetEnded{ WallTime{ 11 } } });
+  m_fleet.Apply({ RemoveEndedJobs{ WallTime{ 11 } } });
   CHECK(m_fleet.Book().Find(JobId{ "old" }) == nullptr);
   CHECK(m_fleet.Book().Find(JobId{ "active" }) != nullptr);
 }
@@ -197,7 +197,8 @@
   m_fleet.Start(Ref("a", 1, 1), "w2");
   auto copy = fleet::State::Decode(m_fleet.State().Encode());
   CHECK(copy.has_value());
-  STRCMP_EQUAL("w2", copy->Jobs().Placed().begin()->first.m_id.Get().c_str());
+  STRCMP_EQUAL("w2",
+               copy->Jobs().TasksByWorker().begin()->first.m_id.Get().c_str());
   CHECK(copy->Jobs().Find(JobId{ "a" })->m_spec ==
         m_fleet.Book().Find(JobId{ "a" })->m_spec);
   const Batch laterChanges{
@@ -207,7 +208,7 @@
   };
   copy->Apply(Index{ 100 }, laterChanges);
   CHECK(copy->Jobs().Find(JobId{ "a" })->m_state == JobState::kCompleted);
-  LONGS_EQUAL(1, copy->Jobs().Pending(QueueId{ "host/q/" }));
+  LONGS_EQUAL(1, copy->Jobs().PendingJobs(QueueId{ "host/q/" }));
 }
 
 TEST(JobTable, LateEnd_IsKeptInTheLog)
--- a/tests/unit/jobs/crash_loop_test.cpp
+++ b/tests/unit/jobs/crash_loop_test.cpp
@@ -62,15 +62,15 @@
 {
   m_fleet.Submit("a", Spec({ Step(2) }));
   StartAndLoseWorker(Ref("a", 1), CrashEvidence::kStarting);
-  StartAndLoseWorker(Ref("a", 1), CrashEvidence::kAlone);
+  StartAndLoseWorker(Ref("a", 1), CrashEvidence::kIsolated);
   CHECK(m_fleet.StateOf("a") == JobState::kActive);
-  LONGS_EQUAL(1, m_fleet.Book().LostWithWorkers().size());
-  StartAndLoseWorker(Ref("a", 1), CrashEvidence::kAlone);
+  LONGS_EQUAL(1, m_fleet.Book().TasksWithLosses().size());
+  StartAndLoseWorker(Ref("a", 1), CrashEvidence::kIsolated);
   CHECK(m_fleet.StateOf("a") == JobState::kFailed);
   CHECK_STRING("step 0 task 1 crashed 3 workers: w1 (run 1), w2 (run 2), w3 "
                "(run 3)",
                m_fleet.Book().Find(JobId{ "a" })->m_reason);
-  CHECK(m_fleet.Book().LostWithWorkers().empty());
+  CHECK(m_fleet.Book().TasksWithLosses().empty());
 }
 
 // Guards against failing the job of a healthy task because of crashes that
@@ -87,11 +87,14 @@
 TEST(CrashLoop, AmbiguousLosses_AreBounded)
 {
   using enum CrashEvidence;
-  CHECK(!IsProven(Losses({ kStarting, kStarting, kStarting, kStarting })));
-  CHECK(IsProven(
+  CHECK(
+    !IsProvenCrasher(Losses({ kStarting, kStarting, kStarting, kStarting })));
+  CHECK(IsProvenCrasher(
     Losses({ kStarting, kStarting, kStarting, kStarting, kStarting })));
-  CHECK(!IsProven(Losses({ kRunning, kStarting, kStarting, kAlone })));
-  CHECK(IsProven(Losses({ kRunning, kRunning, kStarting, kStarting, kAlone })));
+  CHECK(
+    !IsProvenCrasher(Losses({ kRunning, kStarting, kStarting, kIsolated })));
+  CHECK(IsProvenCrasher(
+    Losses({ kRunning, kRunning, kStarting, kStarting, kIsolated })));
 }
 
 // Guards against missing tasks that crash their workers at the same time: each
@@ -99,19 +102,20 @@
 TEST(CrashLoop, ConcurrentLosses_MakeASuspectButProveNothing)
 {
   using enum CrashEvidence;
-  CHECK(!IsSuspect(Losses({ kShared, kShared })));
-  CHECK(IsSuspect(Losses({ kShared, kShared, kShared })));
-  CHECK(IsSuspect(Losses({ kShared, kRunning, kShared })));
-  CHECK(MayBeTriedTogether(Losses({ kShared, kRunning, kShared })));
-  CHECK(NeedsCalm(Losses({ kShared, kShared, kShared })));
-  CHECK(!IsProven(Losses(std::vector(20, kShared))));
+  CHECK(!IsSuspect(Losses({ kConcurrent, kConcurrent })));
+  CHECK(IsSuspect(Losses({ kConcurrent, kConcurrent, kConcurrent })));
+  CHECK(IsSuspect(Losses({ kConcurrent, kRunning, kConcurrent })));
+  CHECK(CanBeIsolatedTogether(Losses({ kConcurrent, kRunning, kConcurrent })));
+  CHECK(NeedsQuietPeriod(Losses({ kConcurrent, kConcurrent, kConcurrent })));
+  CHECK(!IsProvenCrasher(Losses(std::vector(20, kConcurrent))));
 }
 
 TEST(CrashLoop, LossesAtStartAndOneProof_FourthLossProvesACrasher)
 {
   using enum CrashEvidence;
-  CHECK(!IsProven(Losses({ kStarting, kStarting, kAlone })));
-  CHECK(IsProven(Losses({ kStarting, kStarting, kStarting, kAlone })));
+  CHECK(!IsProvenCrasher(Losses({ kStarting, kStarting, kIsolated })));
+  CHECK(
+    IsProvenCrasher(Losses({ kStarting, kStarting, kStarting, kIsolated })));
 }
 
 TEST(CrashLoop, SuspectsAreIsolated_OthersAreNot)
@@ -120,12 +124,12 @@
   CHECK(!IsSuspect({}));
   CHECK(!IsSuspect(Losses({ kRunning })));
   CHECK(IsSuspect(Losses({ kStarting })));
-  CHECK(!IsTriedThroughout(Losses({ kStarting })));
-  CHECK(IsTriedThroughout(Losses({ kRunning, kRunning })));
-  CHECK(!NeedsCalm(Losses({ kStarting, kStarting })));
-  CHECK(NeedsCalm(Losses({ kStarting, kStarting, kStarting })));
-  CHECK(WasLostOn(Losses({ kStarting }), InstanceId{ "i" }));
-  CHECK(!WasLostOn(Losses({ kStarting }), InstanceId{ "j" }));
+  CHECK(!IsIsolatedForWholeRun(Losses({ kStarting })));
+  CHECK(IsIsolatedForWholeRun(Losses({ kRunning, kRunning })));
+  CHECK(!NeedsQuietPeriod(Losses({ kStarting, kStarting })));
+  CHECK(NeedsQuietPeriod(Losses({ kStarting, kStarting, kStarting })));
+  CHECK(HasLossOn(Losses({ kStarting }), InstanceId{ "i" }));
+  CHECK(!HasLossOn(Losses({ kStarting }), InstanceId{ "j" }));
 }
 
 // Guards against failing a long-running task's job after enough time, since
@@ -136,14 +140,14 @@
   step.m_longRunning = true;
   m_fleet.Submit("a", Spec({ step }));
   StartAndLoseWorker(Ref("a"), CrashEvidence::kStarting);
-  StartAndLoseWorker(Ref("a"), CrashEvidence::kAlone);
+  StartAndLoseWorker(Ref("a"), CrashEvidence::kIsolated);
   m_fleet.Start(Ref("a"), "w9", 3);
-  m_fleet.Apply({ SettleRun{ Ref("a"), RunNumber{ 3 } } });
+  m_fleet.Apply({ MarkRunStable{ Ref("a"), RunNumber{ 3 } } });
   CHECK(m_fleet.Book().FindTask(Ref("a"))->m_losses.empty());
-  CHECK(m_fleet.Book().FindTask(Ref("a"))->m_settled);
+  CHECK(m_fleet.Book().FindTask(Ref("a"))->m_isStable);
   m_fleet.End(Ref("a"), RunEnd::kWorkerLost, 3);
   m_fleet.Start(Ref("a"), "w10", 4);
-  CHECK(!m_fleet.Book().FindTask(Ref("a"))->m_settled);
+  CHECK(!m_fleet.Book().FindTask(Ref("a"))->m_isStable);
 }
 
 TEST(CrashLoop, RetryDelay_GrowsWithEachLossAndDiffersByTask)
@@ -168,7 +172,7 @@
   StartAndLoseWorker(Ref("a"), CrashEvidence::kStarting);
   m_fleet.Start(Ref("a"), "w2", 2);
   m_fleet.End(Ref("a"), RunEnd::kDone, 2);
-  CHECK(m_fleet.Book().LostWithWorkers().empty());
+  CHECK(m_fleet.Book().TasksWithLosses().empty());
 }
 
 // Guards against losing a task's crash evidence when a snapshot or the log is
@@ -177,22 +181,22 @@
 {
   m_fleet.Submit("a", Spec({ Step(1) }));
   StartAndLoseWorker(Ref("a"), CrashEvidence::kStarting);
-  StartAndLoseWorker(Ref("a"), CrashEvidence::kAlone);
+  StartAndLoseWorker(Ref("a"), CrashEvidence::kIsolated);
   m_fleet.Restore();
   const auto& losses = m_fleet.Book().FindTask(Ref("a"))->m_losses;
   LONGS_EQUAL(2, losses.size());
   CHECK_STRING("i", losses[1].m_instance.Get());
   CHECK_STRING("w2", losses[1].m_worker.m_id.Get());
-  CHECK(losses[1].m_evidence == CrashEvidence::kAlone);
-  LONGS_EQUAL(1, m_fleet.Book().LostWithWorkers().size());
+  CHECK(losses[1].m_evidence == CrashEvidence::kIsolated);
+  LONGS_EQUAL(1, m_fleet.Book().TasksWithLosses().size());
 
   const EndRun end{ Ref("a"), RunNumber{ 3 }, RunEnd::kWorkerLost,
-                    "",       WallTime{ 3 },  CrashEvidence::kAlone };
+                    "",       WallTime{ 3 },  CrashEvidence::kIsolated };
   const auto batch = DecodeBatch(
-    EncodeBatch({ { end, SettleRun{ Ref("a"), RunNumber{ 4 } } } }));
+    EncodeBatch({ { end, MarkRunStable{ Ref("a"), RunNumber{ 4 } } } }));
   CHECK(std::get<EndRun>(batch->m_changes[0]).m_evidence ==
-        CrashEvidence::kAlone);
-  LONGS_EQUAL(4, std::get<SettleRun>(batch->m_changes[1]).m_run.Get());
+        CrashEvidence::kIsolated);
+  LONGS_EQUAL(4, std::get<MarkRunStable>(batch->m_changes[1]).m_run.Get());
 }
 
 // Guards against control replicas that cannot read their own log after an
@@ -203,10 +207,11 @@
     FromHex("100e400111013751040303110107010301055108020111150a000211011201"
             "610000"));
   CHECK(batch.has_value());
-  CHECK(std::get<EndRun>(batch->m_changes[0]).m_how == RunEnd::kWorkerLost);
+  CHECK(std::get<EndRun>(batch->m_changes[0]).m_endReason ==
+        RunEnd::kWorkerLost);
   CHECK(std::get<EndRun>(batch->m_changes[0]).m_evidence ==
         CrashEvidence::kNone);
-  const auto jobTable = DecodeBook(FromHex(
+  const auto jobTable = DecodeJobTable(FromHex(
     "102f500101010211014f51040405000001010000010111111211111251100302115d0a"
     "115d170161017100021105121105570170510406043101e80301640003110d0411090a"
     "11090a11090a000351040101000011010f41040111011f51040102100111051211050a"
--- a/tests/unit/membership/registry_test.cpp
+++ b/tests/unit/membership/registry_test.cpp
@@ -93,10 +93,10 @@
 {
   const TimePoint now = kStart + kAfterOrphanGrace;
   Sync(kEntry, 10, now, 1);
-  CHECK_FALSE(m_registry.IsEmpty(LeavingInstance(10), now));
+  CHECK_FALSE(m_registry.IsDrained(LeavingInstance(10), now));
   Sync(kEntry, 10, now, 0);
-  CHECK(m_registry.IsEmpty(LeavingInstance(10), now));
-  CHECK_FALSE(m_registry.IsEmpty(LeavingInstance(11), now));
+  CHECK(m_registry.IsDrained(LeavingInstance(10), now));
+  CHECK_FALSE(m_registry.IsDrained(LeavingInstance(11), now));
 }
 
 // An entry is lost while its request runs at the instance. Its lease ends, so
@@ -108,10 +108,10 @@
   Sync(kOtherEntry, 10, now, 1);
   const TimePoint leaseOver = now + Millis{ 3000 };
   Sync(kEntry, 10, leaseOver);
-  CHECK_FALSE(m_registry.IsEmpty(LeavingInstance(10), leaseOver));
+  CHECK_FALSE(m_registry.IsDrained(LeavingInstance(10), leaseOver));
   const TimePoint graceOver = now + kAfterOrphanGrace;
   Sync(kEntry, 10, graceOver);
-  CHECK(m_registry.IsEmpty(LeavingInstance(10), graceOver));
+  CHECK(m_registry.IsDrained(LeavingInstance(10), graceOver));
 }
 
 TEST(Registry, Entry_LeavingByPlan_IsForgottenAtOnce)
@@ -130,7 +130,7 @@
   const auto fleet = MakeFleet(6);
   const TimePoint now = kStart + std::chrono::seconds{ 10 };
   for (int i = 1; i < 6; ++i) {
-    m_registry.OnAlive(
+    m_registry.OnAnnouncement(
       InstanceId{ "w" + std::to_string(i) }, Incarnation{ 1 }, now);
   }
   const auto lost = m_registry.FindLost(fleet, now);
@@ -144,7 +144,7 @@
 {
   const auto fleet = MakeFleet(6);
   const TimePoint now = kStart + std::chrono::seconds{ 10 };
-  m_registry.OnAlive(InstanceId{ "w0" }, Incarnation{ 1 }, now);
+  m_registry.OnAnnouncement(InstanceId{ "w0" }, Incarnation{ 1 }, now);
   LONGS_EQUAL(0, m_registry.FindLost(fleet, now).size());
 }
 
@@ -154,7 +154,7 @@
   fleet[InstanceId{ "w0" }].m_announced.m_incarnation = Incarnation{ 2 };
   const TimePoint now = kStart + std::chrono::seconds{ 10 };
   for (int i = 0; i < 6; ++i) {
-    m_registry.OnAlive(
+    m_registry.OnAnnouncement(
       InstanceId{ "w" + std::to_string(i) }, Incarnation{ 1 }, now);
   }
   LONGS_EQUAL(1, m_registry.FindLost(fleet, now).size());
--- a/tests/unit/placement/capacity_test.cpp
+++ b/tests/unit/placement/capacity_test.cpp
@@ -13,8 +13,8 @@
 {
   Fleet m_fleet;
   placement::WorkerTable m_table{ LeaseOptions{}, At(0) };
-  placement::Durations m_durations;
-  std::set<WorkerLife> m_reserved;
+  placement::DurationEstimator m_durations;
+  std::set<WorkerIncarnation> m_reserved;
   placement::CapacityPlanner m_planner;
   placement::OrderRecord m_record{ Millis{ 3000 } };
 
@@ -89,9 +89,9 @@
   {
     std::vector<MoveOrder> all;
     for (std::int64_t at = 10'000; at < 10'000 + aMs; at += 100) {
-      m_planner.OnOtherOrders(aMaintenance);
+      m_planner.OnMaintenanceOrders(aMaintenance);
       for (const MoveOrder& order : Next(at).m_orders) {
-        m_planner.OnAnswer(order, InstanceAnswer::kTaken, At(at));
+        m_planner.OnAnswer(order, InstanceAnswer::kAccepted, At(at));
         all.push_back(order);
       }
     }
@@ -250,7 +250,7 @@
   Next(10'000);
   const CapacityPlan plan = Next(11'600);
   LONGS_EQUAL(1, plan.m_orders.size());
-  m_planner.OnAnswer(plan.m_orders[0], InstanceAnswer::kTaken, At(11'650));
+  m_planner.OnAnswer(plan.m_orders[0], InstanceAnswer::kAccepted, At(11'650));
   m_table.Retire(Life("other0"), m_fleet.Book(), WallTime{ 0 });
   SubmitPeak();
   LONGS_EQUAL(0, Next(12'000).m_orders.size());
@@ -273,7 +273,7 @@
   const CapacityPlan again = Next(13'000);
   CHECK(!again.m_orders.empty());
   CHECK(
-    m_planner.OnAnswer(again.m_orders[0], InstanceAnswer::kTaken, At(13'100))
+    m_planner.OnAnswer(again.m_orders[0], InstanceAnswer::kAccepted, At(13'100))
       .has_value());
 }
 
@@ -322,7 +322,7 @@
   for (std::int64_t at = 10'000; at < 12'000; at += 100) {
     orders += Next(at).m_orders.size();
   }
-  LONGS_EQUAL(kMostOrdersUnderWay, orders);
+  LONGS_EQUAL(kMaxUnansweredOrders, orders);
 }
 
 // Jobs of four dependent steps have four times the work that can run
@@ -388,7 +388,7 @@
   step.m_image = ImageId{ "image" };
   m_fleet.Submit("peak", Spec({ step }));
   LONGS_EQUAL(0, Next(10'000).m_orders.size());
-  m_durations.Learn(step, Millis{ 1000 });
+  m_durations.Record(step, Millis{ 1000 });
   CHECK(!Next(10'100).m_orders.empty());
 }
 
@@ -411,7 +411,7 @@
   const CapacityPlan plan = Next(10'100);
   LONGS_EQUAL(0, plan.m_orders.size());
   LONGS_EQUAL(1, plan.m_cordoned.size());
-  const WorkerLife drained = *plan.m_cordoned.begin();
+  const WorkerIncarnation drained = *plan.m_cordoned.begin();
   for (std::uint32_t i = 0; i < 8; ++i) {
     if (drained.m_id.Get() == "other" + std::to_string(i)) {
       m_fleet.End(Ref("last tasks", i), RunEnd::kDone);
@@ -525,9 +525,9 @@
   SubmitPeak();
   Next(10'000);
   const MoveOrder order = Next(10'500).m_orders.at(0);
-  const WorkerLife* target = nullptr;
+  const WorkerIncarnation* target = nullptr;
   for (const auto& [id, worker] : m_table.Workers()) {
-    target = worker.m_last.m_instance == order.m_instance ? &id : target;
+    target = worker.m_lastReport.m_instance == order.m_instance ? &id : target;
   }
   for (std::uint64_t i = 0; i < 100; ++i) {
     const std::int64_t at = 10'600 + static_cast<std::int64_t>(i) * 100;
--- a/tests/unit/placement/load_shedder_test.cpp
+++ b/tests/unit/placement/load_shedder_test.cpp
@@ -14,10 +14,10 @@
 
   void Wait(std::int64_t aMs, std::int64_t aAt)
   {
-    m_shedder.OnWaited(Millis{ aMs }, At(aAt));
+    m_shedder.RecordWait(Millis{ aMs }, At(aAt));
   }
 
-  bool Sheds(Shedding aLevel, std::int64_t aAt)
+  bool Sheds(SheddingLevel aLevel, std::int64_t aAt)
   {
     return m_shedder.Level(At(aAt)) == aLevel;
   }
@@ -26,7 +26,7 @@
 TEST(LoadShedder, ReportsWaitAsInAnyPeak_NothingIsSkipped)
 {
   Wait(130, 1000);
-  CHECK(Sheds(Shedding::kNothing, 1000));
+  CHECK(Sheds(SheddingLevel::kNone, 1000));
 }
 
 // Guards against leases that run out under a healthy but overloaded leader,
@@ -36,11 +36,11 @@
 TEST(LoadShedder, ReportsWaitLonger_OrdersAreSkippedBeforePasses)
 {
   Wait(160, 1000);
-  CHECK(Sheds(Shedding::kInstances, 1000));
+  CHECK(Sheds(SheddingLevel::kInstances, 1000));
   Wait(320, 1100);
-  CHECK(Sheds(Shedding::kPlacing, 1100));
+  CHECK(Sheds(SheddingLevel::kPlacement, 1100));
   Wait(10, 1600);
-  CHECK(Sheds(Shedding::kPlacing, 1600));
+  CHECK(Sheds(SheddingLevel::kPlacement, 1600));
 }
 
 TEST(LoadShedder, ReportsServedInTimeAgain_NothingIsSkipped)
@@ -48,11 +48,11 @@
   Wait(320, 1000);
   Wait(10, 1600);
   Wait(10, 2200);
-  CHECK(Sheds(Shedding::kNothing, 2200));
+  CHECK(Sheds(SheddingLevel::kNone, 2200));
 }
 
 TEST(LoadShedder, NoReportForLong_NothingIsSkipped)
 {
   Wait(320, 1000);
-  CHECK(Sheds(Shedding::kNothing, 2500));
+  CHECK(Sheds(SheddingLevel::kNone, 2500));
 }
--- a/tests/unit/placement/maintenance_test.cpp
+++ b/tests/unit/placement/maintenance_test.cpp
@@ -67,7 +67,7 @@
   {
     Next(10'000);
     const auto order = Next(10'100).m_orders.at(0);
-    m_fleet.Do(m_planner.OnAnswer(order, InstanceAnswer::kTaken, At(10'200))
+    m_fleet.Do(m_planner.OnAnswer(order, InstanceAnswer::kAccepted, At(10'200))
                  .m_advance->m_change);
     Next(10'300);
     return order;
@@ -79,7 +79,7 @@
   StartWave(5, 2);
   Next(10'000);
   Next(10'100);
-  LONGS_EQUAL(2, Wave().Down());
+  LONGS_EQUAL(2, Wave().DownCount());
   LONGS_EQUAL(2, Next(10'200).m_orders.size());
 }
 
@@ -87,7 +87,7 @@
 {
   StartWave(1, 1);
   Next(2900);
-  LONGS_EQUAL(0, Wave().Down());
+  LONGS_EQUAL(0, Wave().DownCount());
 }
 
 // An order without a clear answer may have been executed: the instance counts
@@ -99,7 +99,7 @@
   const auto order = Next(10'100).m_orders.at(0);
   CHECK(
     !m_planner.OnAnswer(order, InstanceAnswer::kUnclear, At(10'200)).m_advance);
-  LONGS_EQUAL(1, Wave().Down());
+  LONGS_EQUAL(1, Wave().DownCount());
   LONGS_EQUAL(1, Next(10'300).m_orders.size());
 }
 
@@ -109,8 +109,8 @@
   Next(10'000);
   const auto order = Next(10'100).m_orders.at(0);
   const auto result =
-    m_planner.OnAnswer(order, InstanceAnswer::kTaken, At(10'200));
-  CHECK_STRING("w0", result.m_ended->m_id.Get());
+    m_planner.OnAnswer(order, InstanceAnswer::kAccepted, At(10'200));
+  CHECK_STRING("w0", result.m_endedIncarnation->m_id.Get());
 }
 
 // Guards against a job that runs twice: an order is executed, its answer is
@@ -122,11 +122,13 @@
   Next(10'000);
   const auto order = Next(10'100).m_orders.at(0);
   m_planner.OnAnswer(order, InstanceAnswer::kUnclear, At(10'200));
-  CHECK(!m_planner.OnAnswer(order, InstanceAnswer::kTaken, At(12'900)).m_ended);
+  CHECK(!m_planner.OnAnswer(order, InstanceAnswer::kAccepted, At(12'900))
+           .m_endedIncarnation);
   placement::MaintenancePlanner next;
   CHECK(next.Next(m_fleet.State(), m_table, At(13'000)).m_orders.size() == 1);
-  const auto taken = next.OnAnswer(order, InstanceAnswer::kTaken, At(13'100));
-  CHECK(!taken.m_ended);
+  const auto taken =
+    next.OnAnswer(order, InstanceAnswer::kAccepted, At(13'100));
+  CHECK(!taken.m_endedIncarnation);
   CHECK(taken.m_advance.has_value());
 }
 
@@ -144,11 +146,11 @@
   const auto busy =
     m_planner.OnAnswer(order, InstanceAnswer::kBusy, At(10'100));
   CHECK(!busy.m_advance);
-  LONGS_EQUAL(1, Wave().Down());
+  LONGS_EQUAL(1, Wave().DownCount());
   const auto again = Next(12'000).m_orders.at(0);
   const auto taken =
-    m_planner.OnAnswer(again, InstanceAnswer::kTaken, At(12'100));
-  CHECK(!taken.m_ended);
+    m_planner.OnAnswer(again, InstanceAnswer::kAccepted, At(12'100));
+  CHECK(!taken.m_endedIncarnation);
   CHECK(taken.m_advance.has_value());
 }
 
@@ -197,7 +199,7 @@
   m_fleet.Start(Ref("a"), "w0");
   Next(10'000);
   Next(30'000);
-  LONGS_EQUAL(0, Wave().Down());
+  LONGS_EQUAL(0, Wave().DownCount());
 }
 
 // Guards against a delayed report of an incarnation that the order ended, even
@@ -208,7 +210,7 @@
   StartWave(1, 1);
   TakeDown();
   SendReport("w0", 2, 13'200);
-  CHECK(Next(13'300).m_wantsList);
+  CHECK(Next(13'300).m_needsInstanceList);
   CHECK(!Wave().IsDone());
   SendReport("w0", 3, 13'400);
   Next(13'500);
@@ -220,11 +222,11 @@
   StartWave(1, 1);
   const auto order = TakeDown();
   m_table.Retire(Life("w0"), m_fleet.Book(), WallTime{ 0 });
-  CHECK(!Next(10'400).m_wantsList);
+  CHECK(!Next(10'400).m_needsInstanceList);
   WorkerReport back = Report("w0-next", 1);
   back.m_instance = order.m_instance;
   m_table.OnReport(back, m_fleet.Book(), At(12'500), WallTime{ 0 });
-  CHECK(Next(12'500).m_wantsList);
+  CHECK(Next(12'500).m_needsInstanceList);
   CHECK(!Wave().IsDone());
   DeliverList(order.m_instance, InstanceState::kUp, 12'550);
   Next(12'600);
@@ -254,7 +256,7 @@
     DeliverList(order.m_instance, InstanceState::kMaintenance, at);
     LONGS_EQUAL(0, Next(at).m_orders.size());
   }
-  LONGS_EQUAL(1, Wave().Down());
+  LONGS_EQUAL(1, Wave().DownCount());
 }
 
 // Guards against a wave that is reported done while its instance is down,
@@ -273,7 +275,7 @@
   SendReport("w0", 2, 19'000);
   Next(20'000);
   const auto again = Next(20'100).m_orders.at(0);
-  m_fleet.Do(m_planner.OnAnswer(again, InstanceAnswer::kTaken, At(20'200))
+  m_fleet.Do(m_planner.OnAnswer(again, InstanceAnswer::kAccepted, At(20'200))
                .m_advance->m_change);
   m_table.Retire(Life("w0"), m_fleet.Book(), WallTime{ 0 });
   Next(20'300);
@@ -290,7 +292,7 @@
   StartWave(1, 1);
   const auto order = TakeDown();
   m_table.Retire(Life("w0"), m_fleet.Book(), WallTime{ 0 });
-  CHECK(Next(12'400).m_wantsList);
+  CHECK(Next(12'400).m_needsInstanceList);
   DeliverList(order.m_instance, InstanceState::kUp, 12'400);
   Next(12'500);
   CHECK(Wave().IsDone());
@@ -342,7 +344,7 @@
     { InstanceAnswer::kUnclear, InstanceAnswer::kBusy, true },
     { InstanceAnswer::kUnclear, InstanceAnswer::kUnclear, true },
     { InstanceAnswer::kUnclear, InstanceAnswer::kNotSent, true },
-    { InstanceAnswer::kUnclear, InstanceAnswer::kOvertaken, true },
+    { InstanceAnswer::kUnclear, InstanceAnswer::kSuperseded, true },
     { InstanceAnswer::kNotSent, InstanceAnswer::kUnclear, true },
     { InstanceAnswer::kNotSent, InstanceAnswer::kBusy, false },
   };
--- a/tests/unit/placement/order_record_test.cpp
+++ b/tests/unit/placement/order_record_test.cpp
@@ -20,7 +20,7 @@
 
   std::size_t CountExpiredAt(std::int64_t aMs)
   {
-    return m_record.TakeSettled(At(aMs)).size();
+    return m_record.TakeExpired(At(aMs)).size();
   }
 };
 
--- a/tests/unit/placement/plan_pacer_test.cpp
+++ b/tests/unit/placement/plan_pacer_test.cpp
@@ -22,7 +22,7 @@
     const TimePoint end = now + std::chrono::seconds{ 1 };
     while (now < end) {
       if (pacer.IsDue(true, now)) {
-        pacer.OnPlanned(now, now + aPass);
+        pacer.OnPassEnded(now, now + aPass);
         now += aPass;
         ++second.m_passes;
         second.m_timeInPasses += aPass;
@@ -57,7 +57,7 @@
 {
   PlanPacer pacer;
   const TimePoint now{ std::chrono::hours{ 1 } };
-  pacer.OnPlanned(now, now + Millis{ 6 });
+  pacer.OnPassEnded(now, now + Millis{ 6 });
   CHECK_FALSE(pacer.IsDue(true, now + Millis{ 6 }));
   CHECK(pacer.IsDue(false, now + Millis{ 6 }));
 }
@@ -67,7 +67,7 @@
   PlanPacer pacer;
   const TimePoint now{ std::chrono::hours{ 1 } };
   const TimePoint ended = now + Millis{ 10 };
-  pacer.OnPlanned(now, ended, placement::Shedding::kPlacing);
+  pacer.OnPassEnded(now, ended, placement::SheddingLevel::kPlacement);
   CHECK_FALSE(pacer.IsDue(true, ended + Millis{ 69 }));
   CHECK(pacer.IsDue(true, ended + Millis{ 70 }));
   CHECK(pacer.IsDue(false, ended));
--- a/tests/unit/placement/planner_test.cpp
+++ b/tests/unit/placement/planner_test.cpp
@@ -12,7 +12,7 @@
   Fleet m_fleet;
   placement::WorkerTable m_table{ LeaseOptions{}, At(0) };
   Planner m_planner;
-  std::set<WorkerLife> m_cordoned;
+  std::set<WorkerIncarnation> m_cordoned;
 
   void Receive(const WorkerReport& aReport)
   {
@@ -21,7 +21,7 @@
 
   Plan MakePlan()
   {
-    return m_planner.Next(
+    return m_planner.ComputePlan(
       m_fleet.State(), m_table, m_cordoned, At(1000), WallTime{ 1000 });
   }
 
@@ -129,9 +129,9 @@
   m_fleet.Submit("a", Spec({ step }));
   m_fleet.Submit("b", Spec({ step }));
   LONGS_EQUAL(32, StartPlanned());
-  LONGS_EQUAL(8, m_fleet.Book().Placed().size());
-  std::map<std::pair<WorkerLife, JobId>, int> tasksOfJob;
-  for (const auto& [worker, tasks] : m_fleet.Book().Placed()) {
+  LONGS_EQUAL(8, m_fleet.Book().TasksByWorker().size());
+  std::map<std::pair<WorkerIncarnation, JobId>, int> tasksOfJob;
+  for (const auto& [worker, tasks] : m_fleet.Book().TasksByWorker()) {
     for (const TaskRef& task : tasks) {
       LONGS_EQUAL(1, (++tasksOfJob[{ worker, task.m_job }] + 1) / 2);
     }
--- a/tests/unit/placement/rooms_test.cpp
+++ b/tests/unit/placement/rooms_test.cpp
@@ -23,7 +23,7 @@
 TEST_GROUP(WorkerCapacityLimit){
   static StepSpec StepWithNeeds(std::uint32_t aCount,
                                 Resources aNeeds){ StepSpec step = Step(aCount);
-step.m_needs = aNeeds;
+step.m_resources = aNeeds;
 return step;
 }
 
@@ -43,7 +43,7 @@
       step.m_gang = true;
       break;
     case 2:
-      step.m_fills = true;
+      step.m_bestEffort = true;
       break;
     default:
       break;
--- a/tests/unit/placement/shrinking_room_test.cpp
+++ b/tests/unit/placement/shrinking_room_test.cpp
@@ -24,9 +24,9 @@
   placement::WorkerTable m_table{ LeaseOptions{}, At(0) };
   Planner m_planner;
 
-  Heard Receive(const WorkerReport& aReport, std::int64_t aAtMs)
+  ReportResult Receive(const WorkerReport& aReport, std::int64_t aAtMs)
   {
-    Heard result =
+    ReportResult result =
       m_table.OnReport(aReport, m_fleet.Book(), At(aAtMs), WallTime{ kWallMs });
     m_fleet.Apply({ result.m_ends.begin(), result.m_ends.end() });
     return result;
@@ -40,7 +40,7 @@
   std::size_t CountPlanned(std::int64_t aAtMs)
   {
     return m_planner
-      .Next(m_fleet.State(), m_table, {}, At(aAtMs), WallTime{ kWallMs })
+      .ComputePlan(m_fleet.State(), m_table, {}, At(aAtMs), WallTime{ kWallMs })
       .m_changes.size();
   }
 
@@ -148,13 +148,13 @@
   const auto plan = capacity.Next(m_fleet.State(),
                                   m_table,
                                   {},
-                                  placement::Durations{},
+                                  placement::DurationEstimator{},
                                   record,
                                   At(kSteadyStateMs + 1000),
                                   WallTime{ 0 });
-  LONGS_EQUAL(1, plan.m_needs.size());
-  CHECK(plan.m_needs[0].m_want >= 4);
-  CHECK(plan.m_needs[0].m_want <= 6);
+  LONGS_EQUAL(1, plan.m_pools.size());
+  CHECK(plan.m_pools[0].m_desired >= 4);
+  CHECK(plan.m_pools[0].m_desired <= 6);
 }
 
 // Guards against overloading a worker with a run whose resources the leader
--- a/tests/unit/placement/two_lives_test.cpp
+++ b/tests/unit/placement/two_lives_test.cpp
@@ -80,7 +80,7 @@
     return capacity.Next(m_fleet.State(),
                          m_table,
                          {},
-                         placement::Durations{},
+                         placement::DurationEstimator{},
                          record,
                          At(aAtMs),
                          WallTime{ 0 });
@@ -106,8 +106,8 @@
 {
   Planner planner;
   m_fleet.Submit("a", Spec({ Step(8) }));
-  const auto plan =
-    planner.Next(m_fleet.State(), m_table, {}, At(kLater + 600), WallTime{ 0 });
+  const auto plan = planner.ComputePlan(
+    m_fleet.State(), m_table, {}, At(kLater + 600), WallTime{ 0 });
   LONGS_EQUAL(4, plan.m_changes.size());
   for (const Change& change : plan.m_changes) {
     CHECK_STRING("next", std::get<StartRun>(change).m_worker.m_id.Get());
--- a/tests/unit/placement/workers_test.cpp
+++ b/tests/unit/placement/workers_test.cpp
@@ -20,9 +20,9 @@
   Fleet m_fleet;
   placement::WorkerTable m_table{ LeaseOptions{}, At(0) };
 
-  Heard Receive(const WorkerReport& aReport, std::int64_t aAtMs)
+  ReportResult Receive(const WorkerReport& aReport, std::int64_t aAtMs)
   {
-    Heard result =
+    ReportResult result =
       m_table.OnReport(aReport, m_fleet.Book(), At(aAtMs), WallTime{ kWall });
     Take(result.m_ends);
     return result;
@@ -40,7 +40,7 @@
 
   std::size_t CountLostAt(std::int64_t aAtMs)
   {
-    return m_table.FindLost(m_fleet.Book(), At(aAtMs), WallTime{ kWall })
+    return m_table.CollectLostRuns(m_fleet.Book(), At(aAtMs), WallTime{ kWall })
       .size();
   }
 
@@ -189,13 +189,14 @@
   Receive(Report("w1", 1), kLater);
   m_fleet.Start(Ref("a"), "w1");
   Answer("w1", kLater);
-  Take(m_table.FindLost(m_fleet.Book(), At(kLater + 5'000), WallTime{ kWall }));
-  LONGS_EQUAL(1, m_fleet.Book().Pending(QueueId{ "host/q/" }));
+  Take(m_table.CollectLostRuns(
+    m_fleet.Book(), At(kLater + 5'000), WallTime{ kWall }));
+  LONGS_EQUAL(1, m_fleet.Book().PendingJobs(QueueId{ "host/q/" }));
   WorkerReport back = Report("w1", 2);
   back.m_ended.push_back(End(1, Ref("a"), RunEnd::kDone));
   Receive(back, kLater + 5'100);
   STRCMP_EQUAL("completed", Describe(m_fleet.StateOf("a")));
-  LONGS_EQUAL(0, m_fleet.Book().Pending(QueueId{ "host/q/" }));
+  LONGS_EQUAL(0, m_fleet.Book().PendingJobs(QueueId{ "host/q/" }));
 }
 
 // Guards against a task that is done twice when it has already been placed
@@ -206,13 +207,14 @@
   Receive(Report("w1", 1), kLater);
   m_fleet.Start(Ref("a"), "w1");
   Answer("w1", kLater);
-  Take(m_table.FindLost(m_fleet.Book(), At(kLater + 5'000), WallTime{ kWall }));
+  Take(m_table.CollectLostRuns(
+    m_fleet.Book(), At(kLater + 5'000), WallTime{ kWall }));
   m_fleet.Start(Ref("a"), "w2", 2);
   WorkerReport back = Report("w1", 2);
   back.m_ended.push_back(End(1, Ref("a"), RunEnd::kDone));
   Receive(back, kLater + 5'100);
   STRCMP_EQUAL("completed", Describe(m_fleet.StateOf("a")));
-  CHECK(m_fleet.Book().Placed().empty());
+  CHECK(m_fleet.Book().TasksByWorker().empty());
   WorkerReport other = Report("w2", 1);
   other.m_active.push_back(Active(Ref("a"), 2));
   Receive(other, kLater + 5'200);
@@ -227,12 +229,13 @@
   Receive(Report("w1", 1), kLater);
   m_fleet.Start(Ref("a"), "w1");
   Answer("w1", kLater);
-  Take(m_table.FindLost(m_fleet.Book(), At(kLater + 5'000), WallTime{ kWall }));
+  Take(m_table.CollectLostRuns(
+    m_fleet.Book(), At(kLater + 5'000), WallTime{ kWall }));
   m_fleet.Start(Ref("a"), "w2", 2);
   WorkerReport back = Report("w1", 2);
   back.m_ended.push_back(End(1, Ref("a"), RunEnd::kDone));
   CHECK(Receive(back, kLater + 5'100).m_ends.empty());
-  LONGS_EQUAL(1, m_fleet.Book().Placed().size());
+  LONGS_EQUAL(1, m_fleet.Book().TasksByWorker().size());
 }
 
 TEST(WorkerTable, RunOfCancelledJob_IsStopped)
@@ -271,7 +274,7 @@
   StepSpec serving = Step(1);
   serving.m_latencyTarget = Millis{ 100 };
   StepSpec bestEffort = Step(1);
-  bestEffort.m_fills = true;
+  bestEffort.m_bestEffort = true;
   m_fleet.Submit("a", Spec({ serving, bestEffort }));
   m_fleet.Start(Ref("a", 0, 0), "w1");
   m_fleet.Start(Ref("a", 0, 1), "w1");
@@ -297,12 +300,14 @@
     report.m_sequence = i + 1;
     report.m_active[0].m_percent = 40;
     Receive(report, kLater + 500 * i);
-    CHECK(m_table.FindStuck(m_fleet.Book(), At(kLater + 500 * i)).empty());
+    CHECK(m_table.FindStuckRuns(m_fleet.Book(), At(kLater + 500 * i)).empty());
   }
   report.m_sequence = 7;
   Receive(report, kLater + 3000);
-  LONGS_EQUAL(1, m_table.FindStuck(m_fleet.Book(), At(kLater + 3000)).size());
-  LONGS_EQUAL(0, m_table.FindStuck(m_fleet.Book(), At(kLater + 3100)).size());
+  LONGS_EQUAL(1,
+              m_table.FindStuckRuns(m_fleet.Book(), At(kLater + 3000)).size());
+  LONGS_EQUAL(0,
+              m_table.FindStuckRuns(m_fleet.Book(), At(kLater + 3100)).size());
   LONGS_EQUAL(1, Answer("w1", kLater + 3100).m_stops.size());
 }
 
@@ -316,7 +321,7 @@
     report.m_sequence = i + 1;
     report.m_active[0].m_percent = i;
     Receive(report, kLater + 2500 * i);
-    CHECK(m_table.FindStuck(m_fleet.Book(), At(kLater + 2500 * i)).empty());
+    CHECK(m_table.FindStuckRuns(m_fleet.Book(), At(kLater + 2500 * i)).empty());
   }
 }
 
@@ -337,41 +342,41 @@
 // with news or with pending orders must not wait with them.
 TEST(WorkerTable, WorkerWithoutPendingWork_IsSteady)
 {
-  const WorkerLife worker = Life("w1");
+  const WorkerIncarnation worker = Life("w1");
   StepSpec longRunning = Step(1, 100);
   longRunning.m_longRunning = true;
   m_fleet.Submit("lasting", Spec({ longRunning }));
   m_fleet.Submit("short", Spec({ Step(1) }));
   Receive(Report("w1", 1), 1000);
-  CHECK(m_table.IsQuiet(worker, m_fleet.Book()));
+  CHECK(m_table.IsSteady(worker, m_fleet.Book()));
 
   m_fleet.Start(Ref("lasting"), "w1");
-  CHECK_FALSE(m_table.IsQuiet(worker, m_fleet.Book()));
+  CHECK_FALSE(m_table.IsSteady(worker, m_fleet.Book()));
   WorkerReport report = Report("w1", 2);
   report.m_active = { Active(Ref("lasting")) };
   Receive(report, 1100);
-  CHECK(m_table.IsQuiet(worker, m_fleet.Book()));
+  CHECK(m_table.IsSteady(worker, m_fleet.Book()));
 
   m_fleet.Start(Ref("short"), "w1");
-  CHECK_FALSE(m_table.IsQuiet(worker, m_fleet.Book()));
+  CHECK_FALSE(m_table.IsSteady(worker, m_fleet.Book()));
   report = Report("w1", 3);
   report.m_active = { Active(Ref("lasting")), Active(Ref("short")) };
   Receive(report, 1200);
-  CHECK_FALSE(m_table.IsQuiet(worker, m_fleet.Book()));
+  CHECK_FALSE(m_table.IsSteady(worker, m_fleet.Book()));
 
   m_fleet.End(Ref("short"), RunEnd::kDone);
   report = Report("w1", 4);
   report.m_active = { Active(Ref("lasting")) };
   report.m_ended = { End(1, Ref("short"), RunEnd::kDone) };
   Receive(report, 1300);
-  CHECK_FALSE(m_table.IsQuiet(worker, m_fleet.Book()));
+  CHECK_FALSE(m_table.IsSteady(worker, m_fleet.Book()));
 
   report = Report("w1", 5);
   report.m_active = { Active(Ref("lasting")) };
   Receive(report, 1400);
-  CHECK(m_table.IsQuiet(worker, m_fleet.Book()));
+  CHECK(m_table.IsSteady(worker, m_fleet.Book()));
   m_table.RequestStop(Ref("lasting"), RunNumber{ 1 });
-  CHECK_FALSE(m_table.IsQuiet(worker, m_fleet.Book()));
+  CHECK_FALSE(m_table.IsSteady(worker, m_fleet.Book()));
 }
 
 TEST(WorkerTable, DrainingWorker_IsNotSteady)
@@ -379,12 +384,12 @@
   WorkerReport report = Report("w1", 1);
   report.m_draining = true;
   Receive(report, 1000);
-  CHECK_FALSE(m_table.IsQuiet(Life("w1"), m_fleet.Book()));
+  CHECK_FALSE(m_table.IsSteady(Life("w1"), m_fleet.Book()));
 }
 
 TEST(WorkerTable, FullWorker_ReportsLessOften)
 {
-  const WorkerLife worker = Life("w1");
+  const WorkerIncarnation worker = Life("w1");
   m_fleet.Submit("a", Spec({ Step(4, 1000) }));
   Receive(Report("w1", 1), 1000);
   for (std::uint32_t i = 0; i < 3; ++i) {
@@ -446,9 +451,9 @@
   WorkerReport report = Report("w1", 1);
   report.m_active = { Active(Ref("j")) };
   Receive(report, kLater);
-  CHECK(m_table.IsQuiet(Life("w1"), m_fleet.Book()));
+  CHECK(m_table.IsSteady(Life("w1"), m_fleet.Book()));
   m_fleet.Apply({ Cancel{ JobId{ "j" }, WallTime{ kWall } } });
-  CHECK_FALSE(m_table.IsQuiet(Life("w1"), m_fleet.Book()));
+  CHECK_FALSE(m_table.IsSteady(Life("w1"), m_fleet.Book()));
 }
 
 // Guards against a job that never makes progress again because an end was
@@ -469,7 +474,7 @@
   const auto failed = m_table.TakeReceipts();
   LONGS_EQUAL(0, endsAccepted(2));
   LONGS_EQUAL(0, Answer("w1", 1100).m_ackedUpTo);
-  m_table.TakeBack(failed);
+  m_table.Rollback(failed);
   LONGS_EQUAL(1, endsAccepted(3));
   m_table.Acknowledge(m_table.TakeReceipts());
   LONGS_EQUAL(1, Answer("w1", 1300).m_ackedUpTo);
@@ -486,8 +491,8 @@
   working.m_active.push_back(Active(Ref("a")));
   Receive(working, 1000);
   CHECK(Answer("w1", 1000).m_nextReport == Millis{ 200 });
-  m_table.StretchReports(2);
+  m_table.SetReportIntervalFactor(2);
   CHECK(Answer("w1", 1000).m_nextReport == Millis{ 400 });
-  m_table.StretchReports(4);
+  m_table.SetReportIntervalFactor(4);
   CHECK(Answer("w1", 1000).m_nextReport == Millis{ 700 });
 }
--- a/tests/unit/routing/router_test.cpp
+++ b/tests/unit/routing/router_test.cpp
@@ -38,8 +38,10 @@
     const auto pick = aRouter.Choose({}, aNow);
     ++sent[pick->m_instance];
     const bool fails = pick->m_instance == aFailing;
-    aRouter.Finish(
-      pick->m_instance, fails ? Verdict::kBad : Verdict::kGood, kElapsed, aNow);
+    aRouter.Finish(pick->m_instance,
+                   fails ? Verdict::kFailure : Verdict::kSuccess,
+                   kElapsed,
+                   aNow);
   }
   return sent;
 }
@@ -48,7 +50,7 @@
 FailUntilEjected(Router& aRouter, const InstanceId& aId)
 {
   for (int i = 0; i < Options{}.m_ejectionThreshold; ++i) {
-    aRouter.Finish(aId, Verdict::kBad, kElapsed, kStart);
+    aRouter.Finish(aId, Verdict::kFailure, kElapsed, kStart);
   }
 }
 }
@@ -72,7 +74,7 @@
   Router router({}, ZoneId{ "z0" });
   router.SetLimits(30, 50, false);
   Fill(router, 4);
-  router.Finish(InstanceId{ "w1" }, Verdict::kBad, kElapsed, kStart);
+  router.Finish(InstanceId{ "w1" }, Verdict::kFailure, kElapsed, kStart);
   const TimePoint later = kStart + std::chrono::minutes{ 1 };
   const auto sent = Send(router, 200, InstanceId{ "none" }, later);
   CHECK(sent.contains(InstanceId{ "w1" }));
@@ -86,7 +88,7 @@
   Fill(router, 10);
   for (int i = 0; i < 1000; ++i) {
     const auto pick = router.Choose({}, kStart);
-    router.Finish(pick->m_instance, Verdict::kBad, kElapsed, kStart);
+    router.Finish(pick->m_instance, Verdict::kFailure, kElapsed, kStart);
   }
   LONGS_EQUAL(3, router.EjectedCount(kStart));
   CHECK(router.Choose({}, kStart).has_value());
@@ -121,9 +123,9 @@
   CHECK(router.Choose({}, kStart).has_value());
   router.Update(Upstream(0), false);
   CHECK_FALSE(router.Choose({}, kStart).has_value());
-  LONGS_EQUAL(1, router.Leftovers().size());
-  router.Finish(InstanceId{ "w0" }, Verdict::kGood, kElapsed, kStart);
-  LONGS_EQUAL(0, router.Leftovers().size());
+  LONGS_EQUAL(1, router.DrainingInFlight().size());
+  router.Finish(InstanceId{ "w0" }, Verdict::kSuccess, kElapsed, kStart);
+  LONGS_EQUAL(0, router.DrainingInFlight().size());
 }
 
 TEST(Router, Retry_OtherRackAvailable_AvoidsFailedRack)
@@ -133,7 +135,7 @@
   for (int i = 0; i < 30; ++i) {
     const auto pick = router.Choose({ RackId{ "r0" } }, kStart);
     CHECK(pick->m_rack == RackId{ "r1" });
-    router.Finish(pick->m_instance, Verdict::kGood, kElapsed, kStart);
+    router.Finish(pick->m_instance, Verdict::kSuccess, kElapsed, kStart);
   }
 }
 
--- a/tests/unit/settings/settings_test.cpp
+++ b/tests/unit/settings/settings_test.cpp
@@ -16,7 +16,7 @@
 
   std::string ErrorIn(const Json& aJson)
   {
-    settings::Problem error;
+    settings::ValidationError error;
     const auto settings = settings::Parse(aJson.dump(), "file.json", error);
     return settings ? "" : settings::ToText(error);
   }
@@ -75,7 +75,7 @@
 
 TEST(Settings, NotJson_ReportsByteOffset)
 {
-  settings::Problem error;
+  settings::ValidationError error;
   CHECK_FALSE(settings::Parse("{\"instance\": ", "f", error).has_value());
   CHECK_STRING("(byte 14)", error.m_field);
 }
@@ -99,7 +99,7 @@
 {
   using placement::Mechanism;
   m_valid["mechanismsOff"] = { "moves" };
-  settings::Problem error;
+  settings::ValidationError error;
   const auto settings = settings::Parse(m_valid.dump(), "f", error);
   CHECK_FALSE(settings->m_mechanisms.Has(Mechanism::kMoves));
   CHECK(settings->m_mechanisms.Has(Mechanism::kStandby));
--- a/tests/unit/storage/log_store_test.cpp
+++ b/tests/unit/storage/log_store_test.cpp
@@ -44,7 +44,7 @@
 
   std::unique_ptr<LogStore> Open(FileCalls aCalls = FileCalls::Posix())
   {
-    m_opened = Opened{};
+    m_opened = OpenResult{};
     m_failure = Failure{};
     return LogStore::Open(
       m_folder, InstanceId{ "c1" }, m_opened, m_failure, std::move(aCalls));
@@ -73,17 +73,17 @@
   }
 
   fs::path m_folder;
-  Opened m_opened;
+  OpenResult m_opened;
   Failure m_failure;
 };
 
 TEST(LogStore, EmptyFolder_Opened_GivesNewIncarnationEachTime)
 {
   CHECK(Open() != nullptr);
-  CHECK(m_opened.m_fresh);
+  CHECK(m_opened.m_isNew);
   const auto first = m_opened.m_self;
   CHECK(Open() != nullptr);
-  CHECK_FALSE(m_opened.m_fresh);
+  CHECK_FALSE(m_opened.m_isNew);
   CHECK(m_opened.m_self == first);
   fs::remove_all(m_folder);
   CHECK(Open() != nullptr);
@@ -136,8 +136,8 @@
     fs::resize_file(LogFile(), length);
     CHECK(Open() != nullptr);
     LONGS_EQUAL(3, m_opened.m_recovered.m_entries.size());
-    CHECK(m_opened.m_cut.has_value());
-    LONGS_EQUAL(sizeBefore, m_opened.m_cut->m_offset);
+    CHECK(m_opened.m_truncatedTail.has_value());
+    LONGS_EQUAL(sizeBefore, m_opened.m_truncatedTail->m_offset);
   }
 }
 
@@ -243,14 +243,14 @@
   CHECK(store->Write(MakePersist({ Entry(1, "a") }), m_failure));
   freeBytes = 5;
   CHECK_FALSE(store->Write(MakePersist({ Entry(2, "b") }), m_failure));
-  CHECK(MayPass(m_failure));
+  CHECK(IsRetryable(m_failure));
   CHECK_FALSE(store->Write(MakePersist({ Entry(2, "b") }), m_failure));
   freeBytes = 1 << 20;
   CHECK(store->Write(MakePersist({ Entry(2, "b") }), m_failure));
   CHECK(store->Write(MakePersist({ Entry(3, "c") }), m_failure));
   store.reset();
   CHECK(Open() != nullptr);
-  CHECK_FALSE(m_opened.m_cut.has_value());
+  CHECK_FALSE(m_opened.m_truncatedTail.has_value());
   LONGS_EQUAL(3, m_opened.m_recovered.m_entries.size());
 }
 
@@ -274,7 +274,7 @@
   snapshot.m_entries = { Entry(2, "b") };
   isFull = true;
   CHECK_FALSE(store->Write(snapshot, m_failure));
-  CHECK(MayPass(m_failure));
+  CHECK(IsRetryable(m_failure));
   isFull = false;
   CHECK(store->Write(MakePersist({ Entry(3, "c") }), m_failure));
   snapshot.m_entries.push_back(Entry(3, "c"));
--- a/tests/unit/waves/planner_test.cpp
+++ b/tests/unit/waves/planner_test.cpp
@@ -57,7 +57,7 @@
 
   std::size_t Step()
   {
-    const waves::Observed observed{ [this](const Instance&) {
+    const waves::Observations observed{ [this](const Instance&) {
       return m_isEmpty;
     } };
     const auto commands = waves::NextSteps(m_state, observed);
@@ -81,7 +81,7 @@
   void RestartReleased()
   {
     std::vector<InstanceId> released;
-    for (const Instance* instance : waves::Released(m_state)) {
+    for (const Instance* instance : waves::AwaitingRestart(m_state)) {
       released.push_back(instance->m_announced.m_id);
     }
     for (const InstanceId& id : released) {
@@ -122,10 +122,10 @@
   Step();
   LONGS_EQUAL(1, OutByWaves());
   Step();
-  LONGS_EQUAL(0, waves::Released(m_state).size());
+  LONGS_EQUAL(0, waves::AwaitingRestart(m_state).size());
   m_isEmpty = true;
   Step();
-  LONGS_EQUAL(1, waves::Released(m_state).size());
+  LONGS_EQUAL(1, waves::AwaitingRestart(m_state).size());
 }
 
 // Two unplanned losses use up the budget, so the wave takes no instance out.
@@ -184,7 +184,7 @@
 {
   Build(8, 4, 25, false);
   StartWave();
-  const waves::Observed observed{ [](const Instance&) { return true; } };
+  const waves::Observations observed{ [](const Instance&) { return true; } };
   const auto first = waves::NextSteps(m_state, observed);
   const auto second = waves::NextSteps(m_state, observed);
   for (const auto* commands : { &first, &second }) {
--- a/tools/bamboostile/job_commands.cpp
+++ b/tools/bamboostile/job_commands.cpp
@@ -86,8 +86,8 @@
   KJ_IF_MAYBE (exception, failure) {
     return PrintInputError(aFile + ": " + exception->getDescription().cStr());
   }
-  const fleet::RouteFinding validation =
-    fleet::Check(wire::Read(table.asReader()));
+  const fleet::RouteValidation validation =
+    fleet::ValidateRoutes(wire::Read(table.asReader()));
   if (validation.m_problem != fleet::RouteProblem::kNone) {
     return PrintInputError(aFile + ": " + validation.m_name + ": " +
                            fleet::Describe(validation.m_problem));
@@ -113,7 +113,7 @@
   Json json{ { "outcome", jobs::Describe(answer->m_outcome) } };
   if (answer->m_pending) {
     json["pending"] = *answer->m_pending;
-  } else if (aCall.m_kind == jobs::CallKind::kLook) {
+  } else if (aCall.m_kind == jobs::CallKind::kQuery) {
     json["state"] = wire::NameOf(answer->m_state);
     if (!answer->m_detail.empty()) {
       json["reason"] = answer->m_detail;
@@ -169,7 +169,7 @@
     if (!text) {
       return PrintInputError("--file: " + aArguments[4] + " cannot be read");
     }
-    json::BadField invalidField;
+    json::InvalidField invalidField;
     auto spec = wire::ReadJobSpec(*text, invalidField);
     if (!spec) {
       return PrintInputError(aArguments[4] + ": " + invalidField.m_field +
--- a/tools/bamboostile/request_command.cpp
+++ b/tools/bamboostile/request_command.cpp
@@ -61,7 +61,7 @@
   call.m_method = text("method");
   call.m_target = text("target");
   call.m_timeout = kCallTimeout;
-  call.m_onlyOnce = true;
+  call.m_atMostOnce = true;
   const std::pair<const char*, const char*> headers[] = {
     { "key", "Idempotency-Key" },
     { "timeout-ms", "Bamboostile-Timeout-Ms" },
--- a/tools/bamboostiled/main.cpp
+++ b/tools/bamboostiled/main.cpp
@@ -74,7 +74,7 @@
         call.m_headers = { { "Content-Type", "application/json" } };
         call.m_body = std::make_shared<const std::string>(std::move(aDocument));
         call.m_timeout = std::chrono::seconds{ 5 };
-        call.m_onlyOnce = false;
+        call.m_atMostOnce = false;
         client->Start(std::move(call), [](const http::CallResult&) {});
       });
   }
@@ -139,7 +139,7 @@
     // A disk that is full or fails may recover, so opening is retried. A
     // corrupt folder needs an operator.
     const bool isRetryable =
-      failure.m_error == storage::Error::kIo || storage::MayPass(failure);
+      failure.m_error == storage::Error::kIo || storage::IsRetryable(failure);
     if (!isRetryable || !m_settings.m_hosting ||
         !StartRelay(control::RelayKind::kAwaitsDisk)) {
       return false;
@@ -197,14 +197,14 @@
 
   struct DataFolder
   {
-    storage::Opened m_opened;
+    storage::OpenResult m_opened;
     std::unique_ptr<storage::LogStore> m_store;
   };
 
   std::optional<DataFolder> OpenDataFolder(storage::Failure& aFailure) const
   {
     DataFolder folder;
-    storage::Opened& opened = folder.m_opened;
+    storage::OpenResult& opened = folder.m_opened;
     folder.m_store = storage::LogStore::Open(
       *m_settings.m_dataFolder, m_settings.m_instance, opened, aFailure);
     if (!folder.m_store) {
@@ -213,16 +213,16 @@
         .Write();
       return std::nullopt;
     }
-    if (opened.m_cut) {
+    if (opened.m_truncatedTail) {
       LogLine(Level::kWarning, "incomplete last write truncated")
-        .With("file", opened.m_cut->m_file.string())
-        .With("offset", opened.m_cut->m_offset)
-        .With("bytes", opened.m_cut->m_bytes)
+        .With("file", opened.m_truncatedTail->m_file.string())
+        .With("offset", opened.m_truncatedTail->m_offset)
+        .With("bytes", opened.m_truncatedTail->m_bytes)
         .Write();
     }
     LogLine(Level::kInfo, "data folder opened")
       .With("incarnation", opened.m_self.m_incarnation.Get())
-      .With("fresh", opened.m_fresh)
+      .With("fresh", opened.m_isNew)
       .Write();
     return folder;
   }
@@ -241,11 +241,11 @@
     }
     if (m_settings.m_hosting) {
       options.m_formGroup = m_settings.m_hosting->m_formGroup;
-      options.m_group.m_voters =
+      options.m_membershipPolicy.m_targetVoters =
         2 * std::max(1U, m_settings.m_hosting->m_toleratedLosses) + 1;
-      options.m_replica.m_maxVoters = options.m_group.m_voters;
+      options.m_replica.m_maxVoters = options.m_membershipPolicy.m_targetVoters;
       options.m_seeds = settings::SeedsOf(m_settings);
-      options.m_group.m_leastVoters = options.m_seeds.size();
+      options.m_membershipPolicy.m_minVoters = options.m_seeds.size();
     }
     m_node = std::make_unique<control::Node>(
       std::move(options),
@@ -287,10 +287,10 @@
     options.m_capacity.m_mechanisms = m_settings.m_mechanisms;
     const auto& hosting = m_settings.m_hosting;
     if (hosting) {
-      options.m_maintenance.m_takes = hosting->m_maintenanceTakes;
-      options.m_maintenance.m_quietAfterElection = hosting->m_betweenLeaders;
-      options.m_capacity.m_betweenLeaders = hosting->m_betweenLeaders;
-      options.m_capacity.m_moveTakes = hosting->m_moveTakes;
+      options.m_maintenance.m_expectedDowntime = hosting->m_expectedDowntime;
+      options.m_maintenance.m_maxOrderDelay = hosting->m_handoverDelay;
+      options.m_capacity.m_handoverDelay = hosting->m_handoverDelay;
+      options.m_capacity.m_moveDuration = hosting->m_moveDuration;
       options.m_capacity.m_ordersPerSecond = hosting->m_ordersPerSecond;
     }
     if (hosting && hosting->m_instances) {
@@ -387,7 +387,7 @@
    * changes nothing. */
   void Reload()
   {
-    settings::Problem problem;
+    settings::ValidationError problem;
     const auto loaded = settings::Load(m_settingsFile, problem);
     if (!loaded) {
       LogLine(Level::kError, "settings not reloaded")
@@ -501,7 +501,7 @@
     std::cerr << "bamboostiled: --settings FILE is missing\n";
     return kExitBadInput;
   }
-  settings::Problem problem;
+  settings::ValidationError problem;
   auto loaded = settings::Load(values["settings"].as<std::string>(), problem);
   if (!loaded) {
     std::cerr << "bamboostiled: " << settings::ToText(problem) << "\n";
--- a/tools/bamboostiled/platform.cpp
+++ b/tools/bamboostiled/platform.cpp
@@ -33,7 +33,7 @@
                   std::to_string(aInstance.m_announced.m_incarnation.Get());
   call.m_timeout = kRequestTimeout;
   // A repetition is safe: the platform restarts an incarnation at most once.
-  call.m_onlyOnce = false;
+  call.m_atMostOnce = false;
   m_client.Start(std::move(call), [id](const http::CallResult& aResult) {
     telemetry::LogLine(telemetry::Level::kInfo,
                        "restart requested from the platform")
